--- a/knapweedrail/relay/accounts.py
+++ b/knapweedrail/relay/accounts.py
@@ -6,29 +6,29 @@
 
 from .allowances import Allowance
 from .grants import (
-    OPEN_FACTOR,
-    OPEN_SECONDS,
-    Budget,
-    Pace,
-    is_too_open,
+    MAX_VESTING_SECONDS,
+    VESTING_FACTOR,
+    BudgetView,
+    VestingTerms,
+    is_over_vested,
     plan_change,
-    plan_draw,
-    plan_pace,
+    plan_direct_draw,
+    plan_vesting,
 )
 from .ledgers import (
     AccountLedger,
     Grant,
     Settlement,
-    list_earlier,
-    settle_earlier,
+    list_previous_incarnations,
+    settle_previous_incarnations,
 )
 from .models import Account
-from .openings import Moment, Opening
+from .openings import Moment, VestingSchedule
 
-RECENT_SECONDS = 1.5
+FRESH_SECONDS = 1.5
 """How old a view of the ledger may be to refuse by it without looking again."""
 
-CHECK_SECONDS = 6.0
+CONFIRM_SECONDS = 6.0
 """How long looks that may be old, a tenth of a call each, do for that. Of an account
 that is given out, each keeper would else write what it has again and again, to find
 that nobody gave anything back."""
@@ -46,31 +46,31 @@
         free: Tokens that nobody was granted before it.
     """
 
-    entry: AccountLedger
+    ledger: AccountLedger
     change: int
     settled: list[Settlement]
     prepaid: int
     free: int
 
 
-def estimate_others(entry: AccountLedger, but: str) -> float:
+def estimate_others_rate(ledger: AccountLedger, excluding: str) -> float:
     """Return the tokens a second that the callers of all holders but one ask for.
 
     A grant opens as fast as its callers may ask, or as a whole in some seconds while
     its holder doesn't know them; such a rate says nothing of them.
     """
     rates = [
-        grant.opening.rate
-        for holder, grant in entry.grants.items()
-        if holder != but
-        and grant.opening is not None
-        and grant.opening.rate * OPEN_SECONDS > grant.tokens - grant.spent
+        grant.vesting.rate
+        for holder, grant in ledger.grants.items()
+        if holder != excluding
+        and grant.vesting is not None
+        and grant.vesting.rate * MAX_VESTING_SECONDS > grant.tokens - grant.spent
     ]
-    return sum(rates) / OPEN_FACTOR
+    return sum(rates) / VESTING_FACTOR
 
 
 @attrs.define
-class HeldAccount:
+class AccountHolding:
     """One account, as this relay holds it.
 
     Attributes:
@@ -94,58 +94,58 @@
 
     name: str
     allowance: Allowance
-    entry: AccountLedger = attrs.field(factory=AccountLedger)
+    ledger: AccountLedger = attrs.field(factory=AccountLedger)
     revision: int | None = None
     seen_at: float = float("-inf")
-    looked_at: float = float("-inf")
-    checked_at: float = float("-inf")
+    peeked_at: float = float("-inf")
+    confirmed_at: float = float("-inf")
     unreadable_at: float = float("-inf")
     refreshing: bool = False
     borrowing: bool = False
-    drawing: int = 0
-    doubtful: set[str] = attrs.field(factory=set)
-    given_out: int = 0
-    fresh: bool = True
-    reminded: dict[str, float] = attrs.field(factory=dict)
+    pending_draws: int = 0
+    unconfirmed_hosts: set[str] = attrs.field(factory=set)
+    disbursed_at_write: int = 0
+    unused_at_first_read: bool = True
+    prompted_at: dict[str, float] = attrs.field(factory=dict)
 
     @property
     def holder(self) -> str:
         """The holder that this relay is."""
         return self.allowance.holder
 
-    def is_unreadable(self, now: float, recent: float) -> bool:
+    def is_unreadable(self, now: float, max_age: float) -> bool:
         """Return whether its ledger couldn't be read when it was last looked at.
 
         Args:
             recent: Age up to which that look will do, seconds.
         """
-        return self.unreadable_at > self.seen_at and now - self.unreadable_at < recent
+        return self.unreadable_at > self.seen_at and now - self.unreadable_at < max_age
 
-    def is_recent(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Return whether a sure look would hardly bring more than is known."""
-        if now - self.seen_at < RECENT_SECONDS:
+        if now - self.seen_at < FRESH_SECONDS:
             return True
-        looked = now - self.looked_at < RECENT_SECONDS
-        return looked and now - self.checked_at < CHECK_SECONDS
+        looked = now - self.peeked_at < FRESH_SECONDS
+        return looked and now - self.confirmed_at < CONFIRM_SECONDS
 
-    def learn(self, entry: AccountLedger, revision: int, now: float) -> None:
+    def apply_ledger(self, ledger: AccountLedger, revision: int, now: float) -> None:
         """Take over the ledger as it is stored."""
         if self.revision is None:
-            self.fresh = not entry.surely_used
-        self.entry = entry
+            self.unused_at_first_read = not ledger.confirmed_used
+        self.ledger = ledger
         self.revision = revision
         self.seen_at = now
-        openings = self.allowance.openings
-        self.allowance.learn(entry)
-        if self.allowance.openings != openings:
-            self.given_out = self.allowance.given_out
+        schedules = self.allowance.schedules
+        self.allowance.apply_ledger(ledger)
+        if self.allowance.schedules != schedules:
+            self.disbursed_at_write = self.allowance.disbursed
 
     def plan(
         self,
         account: Account,
-        keepers: int,
-        keeps: bool,
-        starting: bool,
+        primaries: int,
+        is_primary: bool,
+        warming_up: bool,
         now: float,
         moment: Moment | None = None,
         started: Moment | None = None,
@@ -167,44 +167,51 @@
             started: That at which this relay's life began.
         """
         prepaid = account.prepaid or 0
-        known = self.holder in self.entry.grants
+        known = self.holder in self.ledger.grants
         demand = self.allowance.demand
-        draws = bool(keeps or known or self.drawing)
-        if not (draws or list_earlier(self.entry, self.holder)):
+        is_drawing = bool(is_primary or known or self.pending_draws)
+        if not (is_drawing or list_previous_incarnations(self.ledger, self.holder)):
             return None
-        entry = self.entry.copy()
-        settled = settle_earlier(entry, self.holder, started)
-        if not draws:
-            return Plan(entry, 0, settled, prepaid, prepaid - entry.committed)
-        grant = self.allowance.record(entry)
-        budget = Budget(
+        ledger = self.ledger.copy()
+        settled = settle_previous_incarnations(ledger, self.holder, started)
+        if not is_drawing:
+            return Plan(ledger, 0, settled, prepaid, prepaid - ledger.committed)
+        grant = self.allowance.record_spent(ledger)
+        budget = BudgetView(
             prepaid=prepaid,
-            free=prepaid - entry.committed,
-            held=entry.count_held(but=self.holder),
-            others_rate=estimate_others(entry, self.holder),
-            keepers=max(1, keepers),
-            starting=starting and self.fresh,
+            free=prepaid - ledger.committed,
+            held=ledger.count_held(excluding=self.holder),
+            others_rate=estimate_others_rate(ledger, self.holder),
+            primaries=max(1, primaries),
+            warming_up=warming_up and self.unused_at_first_read,
         )
-        if keeps:
+        if is_primary:
             change = plan_change(budget, self.allowance.position, demand, now)
         else:
-            change = plan_draw(budget.free, self.allowance.free, demand, now)
-        entered = known or not keeps
-        stale = self.drawing and not self.is_recent(now)
+            change = plan_direct_draw(budget.free, self.allowance.free, demand, now)
+        entered = known or not is_primary
+        stale = self.pending_draws and not self.is_fresh(now)
         free = max(0, self.allowance.free + change)
-        pace = plan_pace(budget, free, demand, now)
-        due = change or settled or stale or self._must_open(budget, pace, moment)
+        terms = plan_vesting(budget, free, demand, now)
+        due = (
+            change
+            or settled
+            or stale
+            or self._needs_new_schedule(budget, terms, moment)
+        )
         if entered and not due:
             return None
-        opening = None
+        vesting = None
         if moment is not None:
             used = self.allowance.used
-            opening = Opening(used + pace.burst, pace.rate, moment)
+            vesting = VestingSchedule(used + terms.burst, terms.rate, moment)
         tokens = grant.tokens + change
-        entry.grants[self.holder] = Grant(tokens, grant.spent, opening)
-        return Plan(entry, change, settled, prepaid, budget.free)
+        ledger.grants[self.holder] = Grant(tokens, grant.spent, vesting)
+        return Plan(ledger, change, settled, prepaid, budget.free)
 
-    def _must_open(self, budget: Budget, pace: Pace, moment: Moment | None) -> bool:
+    def _needs_new_schedule(
+        self, budget: BudgetView, terms: VestingTerms, moment: Moment | None
+    ) -> bool:
         """Return whether its grant should open anew.
 
         Wider, as requests wait; or narrower, as much of it would be lost with this
@@ -212,10 +219,12 @@
         ledger has would be taken for one of another boot.
         """
         allowance = self.allowance
-        if not allowance.openings or moment is None:
+        if not allowance.schedules or moment is None:
             return False
-        if not moment.boot.is_same(allowance.openings[-1].since.boot):
+        if not moment.boot.is_same(allowance.schedules[-1].since.boot):
             return True
         narrow = allowance.demand.unmet > allowance.available < allowance.free
-        passed = allowance.given_out - self.given_out
-        return narrow or is_too_open(budget, allowance.available, pace, passed)
+        disbursed_since = allowance.disbursed - self.disbursed_at_write
+        return narrow or is_over_vested(
+            budget, allowance.available, terms, disbursed_since
+        )
--- a/knapweedrail/relay/allowances.py
+++ b/knapweedrail/relay/allowances.py
@@ -15,9 +15,9 @@
 
 import attrs
 
-from .grants import Demand, Position
+from .grants import Balance, Demand
 from .ledgers import AccountLedger, Grant
-from .openings import Opening
+from .openings import VestingSchedule
 
 
 @attrs.define
@@ -75,8 +75,8 @@
     borrowed: dict[str, Loan] = attrs.field(factory=dict)
     lent: dict[str, Loan] = attrs.field(factory=dict)
     demand: Demand = attrs.field(factory=Demand)
-    openings: list[Opening] = attrs.field(factory=list)
-    _foreign_spent: int = 0
+    schedules: list[VestingSchedule] = attrs.field(factory=list)
+    _written_off_spent: int = 0
 
     @property
     def granted(self) -> int:
@@ -86,9 +86,9 @@
         return self.tokens - self.withheld + borrowed - lent
 
     @property
-    def position(self) -> Position:
+    def position(self) -> Balance:
         """The present figures."""
-        return Position(granted=self.granted, spent=self.spent, reserved=self.reserved)
+        return Balance(granted=self.granted, spent=self.spent, reserved=self.reserved)
 
     @property
     def free(self) -> int:
@@ -101,18 +101,18 @@
         return self.tokens - self.withheld - self.free
 
     @property
-    def given_out(self) -> int:
+    def disbursed(self) -> int:
         """Tokens spent, or lent to others, in all; it only rises."""
         return self.spent + sum(loan.total for loan in self.lent.values())
 
     @property
     def available(self) -> int:
         """Tokens that a new request may take now."""
-        if not self.openings:
+        if not self.schedules:
             return self.free
         now = self.read_clock()
-        opened = min(opening.count_at(now) for opening in self.openings)
-        return min(self.free, opened - self.used)
+        vested = min(vesting.count_vested_at(now) for vesting in self.schedules)
+        return min(self.free, vested - self.used)
 
     def reserve(self, tokens: int) -> bool:
         """Set tokens aside, if there are enough."""
@@ -126,7 +126,7 @@
         used = min(used, tokens)
         self.reserved -= tokens
         self.spent += used
-        self._attribute(used)
+        self._attribute_spending(used)
 
     def lend(self, borrower: str, tokens: int) -> int:
         """Hand tokens over; return what was lent to that holder in all."""
@@ -134,13 +134,13 @@
         loan.total += tokens
         return loan.total
 
-    def take_back(self, borrower: str, returned: int, spent: int) -> int:
+    def accept_return(self, borrower: str, returned: int, spent: int) -> int:
         """Take in what a borrower says in totals; return what came back just now."""
         loan = self.lent.setdefault(borrower, Loan())
-        came = max(0, returned - loan.returned)
-        loan.returned += came
+        received = max(0, returned - loan.returned)
+        loan.returned += received
         loan.spent = max(loan.spent, spent)
-        return came
+        return received
 
     def borrow(self, lender: str, total: int) -> None:
         """Take in what another holder has lent in all."""
@@ -151,46 +151,48 @@
         """Put tokens out of use that are given to another holder."""
         self.borrowed.setdefault(lender, Loan()).returned += tokens
 
-    def learn(self, account: AccountLedger) -> None:
+    def apply_ledger(self, ledger: AccountLedger) -> None:
         """Take over what the ledger says; no write of ours is uncertain any more."""
-        grant = account.grants.get(self.holder, Grant(0, 0))
+        grant = ledger.grants.get(self.holder, Grant(0, 0))
         self.withheld = 0
         self.tokens = grant.tokens
-        self.openings = [grant.opening] if grant.opening else []
+        self.schedules = [grant.vesting] if grant.vesting else []
 
-    def record(self, account: AccountLedger) -> Grant:
+    def record_spent(self, ledger: AccountLedger) -> Grant:
         """Enter what was spent, and return the entry."""
-        known = account.grants.get(self.holder, Grant(0, 0))
-        spent = max(known.spent, self._count_spent())
-        account.grants[self.holder] = attrs.evolve(known, spent=spent)
-        return account.grants[self.holder]
+        known = ledger.grants.get(self.holder, Grant(0, 0))
+        spent = max(known.spent, self._count_own_spent())
+        ledger.grants[self.holder] = attrs.evolve(known, spent=spent)
+        return ledger.grants[self.holder]
 
-    def prepare(self, planned: AccountLedger) -> None:
+    def prepare_write(self, planned: AccountLedger) -> None:
         """Put out of use what a write that is about to be sent gives back, or doesn't
         open any more."""
         grant = planned.grants.get(self.holder, Grant(0, 0))
         self.withheld = max(self.withheld, self.tokens - grant.tokens)
-        if grant.opening is not None and grant.opening not in self.openings:
-            self.openings.append(grant.opening)
+        if grant.vesting is not None and grant.vesting not in self.schedules:
+            self.schedules.append(grant.vesting)
 
-    def _attribute(self, used: int) -> None:
+    def _attribute_spending(self, used: int) -> None:
         """Say whose tokens were spent, so that each is reported to the ledger once.
 
         First come those that were written off with their holder before they got here,
         which the ledger counts as used already; then loans, which their lenders
         report; the rest is of the own grant.
         """
-        foreign = sum(max(0, loan.returned - loan.total) for loan in self.lent.values())
-        part = min(used, max(0, foreign - self._foreign_spent))
-        self._foreign_spent += part
+        written_off = sum(
+            max(0, loan.returned - loan.total) for loan in self.lent.values()
+        )
+        part = min(used, max(0, written_off - self._written_off_spent))
+        self._written_off_spent += part
         used -= part
         for loan in self.borrowed.values():
             part = min(used, max(0, loan.outstanding))
             loan.spent += part
             used -= part
 
-    def _count_spent(self) -> int:
+    def _count_own_spent(self) -> int:
         """Return what was surely spent of the own grant, by others too."""
         elsewhere = sum(loan.spent for loan in self.borrowed.values())
         by_others = sum(loan.spent for loan in self.lent.values())
-        return self.spent - self._foreign_spent - elsewhere + by_others
+        return self.spent - self._written_off_spent - elsewhere + by_others
--- a/knapweedrail/relay/boots.py
+++ b/knapweedrail/relay/boots.py
@@ -7,12 +7,12 @@
 
 from .openings import Boot, Moment
 
-_IDENTITY = pathlib.Path("/proc/sys/kernel/random/boot_id")
-_IDENTITY_LENGTH = 12
+_BOOT_ID_PATH = pathlib.Path("/proc/sys/kernel/random/boot_id")
+_BOOT_ID_DIGITS = 12
 """Hexadecimal digits that are kept of a boot's name: enough to tell the boots of one
 host apart, in a ledger that holds one for each holder."""
 
-_NANOSECONDS = 1_000_000
+_NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
 class BootClock:
@@ -27,23 +27,25 @@
     """
 
     def __init__(self) -> None:
-        self._identity = _read_identity()
+        self._identity = _read_boot_id()
         self.started = self.read()
 
     def read(self) -> Moment:
         """Return the present moment."""
-        at = self.read_milliseconds()
-        began = time.time_ns() // _NANOSECONDS - at
-        return Moment(Boot(self._identity, began), at)
+        uptime = self.read_milliseconds()
+        started_at = time.time_ns() // _NANOSECONDS_PER_MILLISECOND - uptime
+        return Moment(Boot(self._identity, started_at), uptime)
 
     def read_milliseconds(self) -> int:
         """Return the time since the boot, milliseconds."""
-        return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NANOSECONDS
+        return (
+            time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NANOSECONDS_PER_MILLISECOND
+        )
 
 
-def _read_identity() -> str:
+def _read_boot_id() -> str:
     """Return what the system names this boot by; empty where it has no name for it."""
     try:
-        return _IDENTITY.read_text().strip().replace("-", "")[:_IDENTITY_LENGTH]
+        return _BOOT_ID_PATH.read_text().strip().replace("-", "")[:_BOOT_ID_DIGITS]
     except OSError:
         return ""
--- a/knapweedrail/relay/holdings.py
+++ b/knapweedrail/relay/holdings.py
@@ -12,13 +12,13 @@
 
 from ..events import Event, log_event
 from ..tasks import Task
-from .accounts import HeldAccount
+from .accounts import AccountHolding
 from .allowances import Allowance
 from .boots import BootClock
-from .draws import AWAY_SECONDS, CONFLICTS, LedgerDraws
-from .grants import plan_gift
+from .draws import MAX_WRITE_ATTEMPTS, OUTAGE_RETRY_SECONDS, LedgerUpdater
+from .grants import plan_loan
 from .ledgers import release_holder
-from .loans import Loans
+from .loans import TokenBorrower
 from .malformed import MalformedObjects
 from .members import Membership
 from .models import Account, Configuration
@@ -27,15 +27,15 @@
 from .signals import Signal
 from .stores import Store
 
-REFILL_SECONDS = 1.0
+REFILL_INTERVAL_SECONDS = 1.0
 """Pause between looks at what is held, in which at most a tenth of it is spent."""
 
-JITTER = (0.7, 1.3)
+JITTER_BOUNDS = (0.7, 1.3)
 """Bounds of what pauses are multiplied by, drawn each time. Relays start together; with
 equal pauses the keepers of an account would look at the same moments ever after, and
 their writes would meet."""
 
-WAIT_SECONDS = 0.5
+TOKEN_WAIT_SECONDS = 0.5
 """How long a request waits for tokens: a hundred answers of the store, or two relays
 that are asked. Who takes longer is away, and the caller is told when to come back."""
 
@@ -69,7 +69,7 @@
         self._membership = membership
         self._holder = membership.member.holder
         self._changed = Signal()
-        self._draws = LedgerDraws(
+        self._updater = LedgerUpdater(
             store,
             membership,
             read_configuration,
@@ -78,16 +78,18 @@
             malformed,
         )
         self._neighbours = neighbours
-        self._loans = Loans(neighbours, membership, self._changed)
-        self._held: dict[str, HeldAccount] = {}
+        self._borrower = TokenBorrower(neighbours, membership, self._changed)
+        self._by_account: dict[str, AccountHolding] = {}
         self._released = False
 
     async def run(self) -> None:
         async with anyio.create_task_group() as group:
-            self._draws.start(group)
+            self._updater.start(group)
             while True:
-                self._look(group)
-                await anyio.sleep(draw_pause(self._draws.failed, random))
+                self._start_due_work(group)
+                await anyio.sleep(
+                    compute_refill_pause(self._updater.store_unavailable, random)
+                )
 
     async def reserve(self, account: Account, tokens: int) -> Reservation | Shortage:
         """Set tokens aside for a request, at its most.
@@ -99,17 +101,17 @@
             return Reservation(None, 0)
         if self._released:
             return Shortage.OUT_OF_REACH
-        held = self._get(account.name)
-        allowance = held.allowance
-        if self._draws.first_request_at is None:
-            self._draws.first_request_at = time.monotonic()
-        allowance.demand.note_request(tokens, time.monotonic())
+        holding = self._get(account.name)
+        allowance = holding.allowance
+        if self._updater.first_request_at is None:
+            self._updater.first_request_at = time.monotonic()
+        allowance.demand.record_request(tokens, time.monotonic())
         if allowance.reserve(tokens):
             return Reservation(allowance, tokens)
         allowance.demand.unmet += tokens
         try:
-            with anyio.move_on_after(WAIT_SECONDS):
-                shortage = await self._collect(account, held, tokens)
+            with anyio.move_on_after(TOKEN_WAIT_SECONDS):
+                shortage = await self._obtain_tokens(account, holding, tokens)
                 if shortage is None:
                     return Reservation(allowance, tokens)
                 return shortage
@@ -120,25 +122,27 @@
     async def answer_trade(self, trade: Trade) -> TradeAnswer:
         self._neighbours.note_heard(trade.holder)
         self._membership.note_caller(trade.holder)
-        held = self._get(trade.account)
-        allowance = held.allowance
+        holding = self._get(trade.account)
+        allowance = holding.allowance
         if self._released:
             return TradeAnswer(self._holder, 0, Shortage.OUT_OF_REACH)
-        if held.revision is None:
+        if holding.revision is None:
             # The caller may know of a grant that an earlier life here has left.
-            self._draws.refresh_soon(held)
+            self._updater.schedule_refresh(holding)
         if trade.lender == self._holder:
-            came = allowance.take_back(trade.holder, trade.returned, trade.spent)
-            if came:
-                allowance.demand.note_return(came, time.monotonic())
+            received = allowance.accept_return(
+                trade.holder, trade.returned, trade.spent
+            )
+            if received:
+                allowance.demand.record_return(received, time.monotonic())
                 self._changed.give()
         shortage = None
         if trade.needed > allowance.available:
-            shortage = await self._refill_for(held, trade.needed)
-        tokens = plan_gift(allowance.available, trade.needed, trade.wanted)
+            shortage = await self._draw_for_peer(holding, trade.needed)
+        tokens = plan_loan(allowance.available, trade.needed, trade.wanted)
         total = allowance.lend(trade.holder, tokens)
         if tokens:
-            allowance.demand.note_request(tokens, time.monotonic())
+            allowance.demand.record_request(tokens, time.monotonic())
             log_event(
                 Event.TOKENS_LENT,
                 account=trade.account,
@@ -151,120 +155,122 @@
 
     def read_available(self, account: str) -> float:
         """Return the tokens of an account that are free here."""
-        held = self._held.get(account)
-        return float(held.allowance.available) if held else 0.0
+        holding = self._by_account.get(account)
+        return float(holding.allowance.available) if holding else 0.0
 
     def describe(self, account: Account) -> dict[str, Any]:
         """Return what is known of an account, and since when, for a log line."""
-        held = self._get(account.name)
+        holding = self._get(account.name)
         return {
-            "available": held.allowance.available,
-            "reserved": held.allowance.reserved,
+            "available": holding.allowance.available,
+            "reserved": holding.allowance.reserved,
             "keeps": self._membership.keeps(account.name),
             "prepaid": account.prepaid,
-            "free": (account.prepaid or 0) - held.entry.committed,
-            "held_elsewhere": held.entry.count_held(but=self._holder),
-            "held_by_ended": held.entry.count_ended(self._membership.is_present),
-            "surely_used": held.entry.surely_used,
-            "revision": held.revision,
-            "age": round(time.monotonic() - held.seen_at, 2),
+            "free": (account.prepaid or 0) - holding.ledger.committed,
+            "held_elsewhere": holding.ledger.count_held(excluding=self._holder),
+            "held_by_ended": holding.ledger.count_ended(self._membership.is_present),
+            "surely_used": holding.ledger.confirmed_used,
+            "revision": holding.revision,
+            "age": round(time.monotonic() - holding.seen_at, 2),
         }
 
     async def release(self) -> None:
         """Give all tokens back; call when no request is under way any more."""
         self._released = True
-        self._draws.close()
+        self._updater.close()
         async with anyio.create_task_group() as group:
-            for held in self._held.values():
-                group.start_soon(self._release_account, held)
+            for holding in self._by_account.values():
+                group.start_soon(self._release_account, holding)
 
-    def _get(self, account: str) -> HeldAccount:
-        if account not in self._held:
+    def _get(self, account: str) -> AccountHolding:
+        if account not in self._by_account:
             allowance = Allowance(self._holder, self._clock.read_milliseconds)
-            self._held[account] = HeldAccount(account, allowance)
-        return self._held[account]
+            self._by_account[account] = AccountHolding(account, allowance)
+        return self._by_account[account]
 
-    def _look(self, group: anyio.abc.TaskGroup) -> None:
+    def _start_due_work(self, group: anyio.abc.TaskGroup) -> None:
         """Begin what changes of the ledger and what returns of loans are due."""
-        for account in self._draws.list_accounts():
-            if account.name in self._held or self._membership.keeps(account.name):
-                group.start_soon(self._look_after, self._get(account.name))
-        if not self._draws.reachable:
+        for account in self._updater.list_prepaid_accounts():
+            if account.name in self._by_account or self._membership.keeps(account.name):
+                group.start_soon(self._maintain_loans, self._get(account.name))
+        if not self._updater.reachable:
             return
-        for held in self._held.values():
-            if self._draws.plan(held) is None:
+        for holding in self._by_account.values():
+            if self._updater.plan(holding) is None:
                 continue
-            self._draws.refresh_soon(held)
-            if self._draws.failed:
+            self._updater.schedule_refresh(holding)
+            if self._updater.store_unavailable:
                 # One call tells whether the store is back.
                 break
 
-    async def _look_after(self, held: HeldAccount) -> None:
-        await self._loans.return_excess(held)
-        await self._loans.settle_doubts(held)
-        if self._membership.keeps(held.name):
-            await self._loans.remind_hosts(held)
+    async def _maintain_loans(self, holding: AccountHolding) -> None:
+        await self._borrower.return_excess(holding)
+        await self._borrower.resolve_unconfirmed(holding)
+        if self._membership.keeps(holding.name):
+            await self._borrower.prompt_settlements(holding)
 
-    async def _collect(
-        self, account: Account, held: HeldAccount, tokens: int
+    async def _obtain_tokens(
+        self, account: Account, holding: AccountHolding, tokens: int
     ) -> Shortage | None:
         """Reserve tokens as they come from the ledger or from other relays."""
-        allowance = held.allowance
+        allowance = holding.allowance
         shortage: Shortage | None = None
         if self._membership.keeps(account.name):
-            shortage = await self._draws.draw(held, account, tokens)
+            shortage = await self._updater.draw(holding, account, tokens)
             if allowance.reserve(tokens):
                 return None
             if shortage is Shortage.SPENT:
                 return shortage
-        found = await self._loans.borrow(held, tokens)
+        lender_shortage = await self._borrower.borrow(holding, tokens)
         if allowance.reserve(tokens):
             return None
-        if found is Shortage.SPENT:
-            return found
-        if shortage is None and found is not Shortage.HELD_ELSEWHERE:
-            shortage = await self._draws.draw(held, account, tokens)
+        if lender_shortage is Shortage.SPENT:
+            return lender_shortage
+        if shortage is None and lender_shortage is not Shortage.HELD_ELSEWHERE:
+            shortage = await self._updater.draw(holding, account, tokens)
             if allowance.reserve(tokens):
                 return None
-        return shortage or found or Shortage.OUT_OF_REACH
+        return shortage or lender_shortage or Shortage.OUT_OF_REACH
 
-    async def _refill_for(self, held: HeldAccount, needed: int) -> Shortage | None:
+    async def _draw_for_peer(
+        self, holding: AccountHolding, needed: int
+    ) -> Shortage | None:
         """Have the ledger asked for tokens that another relay needs."""
-        account = self._draws.find_account(held.name)
+        account = self._updater.find_account(holding.name)
         if account is None:
             return Shortage.OUT_OF_REACH
-        demand = held.allowance.demand
+        demand = holding.allowance.demand
         demand.unmet += needed
         try:
             with anyio.move_on_after(LEND_SECONDS):
-                return await self._draws.draw(held, account, needed)
+                return await self._updater.draw(holding, account, needed)
         finally:
             demand.unmet -= needed
         return Shortage.OUT_OF_REACH
 
-    async def _release_account(self, held: HeldAccount) -> None:
+    async def _release_account(self, holding: AccountHolding) -> None:
         """Give one account's tokens back, to the ledger or else to another relay."""
-        for _ in range(CONFLICTS):
-            if self._holder not in held.entry.grants:
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            if self._holder not in holding.ledger.grants:
                 break
             # What an unanswered write of this loop gives back, the next one does.
-            returned = max(0, held.allowance.free + held.allowance.withheld)
-            planned = held.entry.copy()
-            held.allowance.record(planned)
+            returned = max(0, holding.allowance.free + holding.allowance.withheld)
+            planned = holding.ledger.copy()
+            holding.allowance.record_spent(planned)
             release_holder(planned, self._holder, returned)
-            if await self._draws.write(held, planned):
+            if await self._updater.write(holding, planned):
                 return
-            if not self._draws.reachable:
+            if not self._updater.reachable:
                 break
-        for member in self._membership.list_lenders(held.name):
-            tokens = held.allowance.available
+        for member in self._membership.list_lenders(holding.name):
+            tokens = holding.allowance.available
             if tokens <= 0:
                 return
-            if await self._loans.give_back(held, member, tokens) is not None:
+            if await self._borrower.give_back(holding, member, tokens) is not None:
                 return
 
 
-def draw_pause(failed: bool, rng: Any) -> float:
+def compute_refill_pause(store_unavailable: bool, rng: Any) -> float:
     """Return the pause before the next look at what is held, seconds."""
-    pause = AWAY_SECONDS if failed else REFILL_SECONDS
-    return pause * rng.uniform(*JITTER)
+    pause = OUTAGE_RETRY_SECONDS if store_unavailable else REFILL_INTERVAL_SECONDS
+    return pause * rng.uniform(*JITTER_BOUNDS)
--- a/knapweedrail/relay/ledgers.py
+++ b/knapweedrail/relay/ledgers.py
@@ -22,9 +22,9 @@
 
 import attrs
 
-from .openings import Moment, Opening, decode_opening, encode_opening
+from .openings import Moment, VestingSchedule, decode_schedule, encode_schedule
 
-MOST_TOKENS = 2**53
+MAX_TOKENS = 2**53
 """Largest number of tokens; up to there every parser of JSON reads it exactly."""
 
 
@@ -41,14 +41,14 @@
 
     tokens: int
     spent: int
-    opening: Opening | None = None
+    vesting: VestingSchedule | None = None
 
 
 class Evidence(enum.Enum):
     """What is known of how much an ended holder has used."""
 
-    OPENING = "its grant opened with time, on this boot's clock"
-    NO_OPENING = "its grant was open as a whole"
+    VESTING = "its grant opened with time, on this boot's clock"
+    NO_VESTING = "its grant was open as a whole"
     OTHER_BOOT = "the host may have started anew since"
 
 
@@ -71,11 +71,11 @@
     spent: int
     used: int
     evidence: Evidence
-    opening: Opening | None = None
+    vesting: VestingSchedule | None = None
     elapsed: int | None = None
 
     @property
-    def lost(self) -> int:
+    def written_off(self) -> int:
         """Tokens that count as used beyond what was reported."""
         return max(0, self.used - self.spent)
 
@@ -103,18 +103,18 @@
         return self.used + sum(grant.tokens for grant in self.grants.values())
 
     @property
-    def surely_used(self) -> int:
+    def confirmed_used(self) -> int:
         """Tokens that are used for certain."""
         return self.used + sum(
             min(grant.spent, grant.tokens) for grant in self.grants.values()
         )
 
-    def count_held(self, but: str) -> int:
+    def count_held(self, excluding: str) -> int:
         """Return the tokens that holders other than one have not reported as spent."""
         return sum(
             max(0, grant.tokens - grant.spent)
             for holder, grant in self.grants.items()
-            if holder != but
+            if holder != excluding
         )
 
     def count_ended(self, is_present: Callable[[str], bool]) -> int:
@@ -134,14 +134,14 @@
         return AccountLedger(self.used, dict(self.grants))
 
 
-def name_holder(host: str, life: str) -> str:
+def name_holder(host: str, incarnation: str) -> str:
     """Return the name of a holder.
 
     Args:
         host: Name of the host, the same after a restart.
         life: Unique to the process.
     """
-    return f"{host}/{life}"
+    return f"{host}/{incarnation}"
 
 
 def get_host(holder: str) -> str:
@@ -149,16 +149,14 @@
     return holder.rpartition("/")[0]
 
 
-def list_earlier(account: AccountLedger, holder: str) -> list[str]:
+def list_previous_incarnations(ledger: AccountLedger, holder: str) -> list[str]:
     """Return the earlier lives of a holder's host that have a grant."""
     host = get_host(holder)
-    return [
-        name for name in account.grants if name != holder and get_host(name) == host
-    ]
+    return [name for name in ledger.grants if name != holder and get_host(name) == host]
 
 
-def settle_earlier(
-    account: AccountLedger, holder: str, started: Moment | None = None
+def settle_previous_incarnations(
+    ledger: AccountLedger, holder: str, started: Moment | None = None
 ) -> list[Settlement]:
     """Settle what earlier lives of a holder's host left.
 
@@ -169,30 +167,30 @@
             ``None`` if that isn't known.
     """
     settled = []
-    for name in list_earlier(account, holder):
-        settlement = _settle(name, account.grants.pop(name), started)
-        account.used += settlement.used
+    for name in list_previous_incarnations(ledger, holder):
+        settlement = _settle_grant(name, ledger.grants.pop(name), started)
+        ledger.used += settlement.used
         settled.append(settlement)
     return settled
 
 
-def _settle(holder: str, grant: Grant, started: Moment | None) -> Settlement:
-    opening = grant.opening
-    if opening is None:
-        evidence = Evidence.NO_OPENING
+def _settle_grant(holder: str, grant: Grant, started: Moment | None) -> Settlement:
+    vesting = grant.vesting
+    if vesting is None:
+        evidence = Evidence.NO_VESTING
         return Settlement(holder, grant.tokens, grant.spent, grant.tokens, evidence)
     used, evidence = grant.tokens, Evidence.OTHER_BOOT
-    elapsed = started.measure_since(opening.since) if started else None
+    elapsed = started.measure_since(vesting.since) if started else None
     if elapsed is not None:
-        opened = opening.count_after(elapsed)
+        opened = vesting.count_vested_after(elapsed)
         used = min(grant.tokens, max(grant.spent, opened))
-        evidence = Evidence.OPENING
+        evidence = Evidence.VESTING
     return Settlement(
-        holder, grant.tokens, grant.spent, used, evidence, opening, elapsed
+        holder, grant.tokens, grant.spent, used, evidence, vesting, elapsed
     )
 
 
-def release_holder(account: AccountLedger, holder: str, returned: int) -> None:
+def release_holder(ledger: AccountLedger, holder: str, returned: int) -> None:
     """Take back what a holder has left that spends nothing any more.
 
     What others still have of it stays granted: they may spend it yet, so it must not
@@ -201,26 +199,26 @@
     Args:
         returned: What it has left.
     """
-    grant = account.grants.pop(holder, Grant(0, 0))
+    grant = ledger.grants.pop(holder, Grant(0, 0))
     left = grant.tokens - returned
     if left > grant.spent:
-        account.grants[holder] = Grant(left, grant.spent)
+        ledger.grants[holder] = Grant(left, grant.spent)
     else:
-        account.used += left
+        ledger.used += left
 
 
-def encode_account(account: AccountLedger) -> dict[str, Any]:
+def encode_account(ledger: AccountLedger) -> dict[str, Any]:
     """Return an account's ledger as it is stored."""
     grants = {
-        holder: [grant.tokens, grant.spent] for holder, grant in account.grants.items()
+        holder: [grant.tokens, grant.spent] for holder, grant in ledger.grants.items()
     }
     # Apart from the grants, so that relays of the version before can read these.
-    openings = {
-        holder: encode_opening(grant.opening)
-        for holder, grant in account.grants.items()
-        if grant.opening is not None
+    schedules = {
+        holder: encode_schedule(grant.vesting)
+        for holder, grant in ledger.grants.items()
+        if grant.vesting is not None
     }
-    return {"used": account.used, "grants": grants, "openings": openings}
+    return {"used": ledger.used, "grants": grants, "openings": schedules}
 
 
 def decode_account(spec: Any) -> AccountLedger:
@@ -231,31 +229,31 @@
             than nothing was given out by it.
     """
     try:
-        openings = spec.get("openings")
-        openings = openings if isinstance(openings, dict) else {}
+        schedules = spec.get("openings")
+        schedules = schedules if isinstance(schedules, dict) else {}
         grants = {
-            _take_holder(holder): Grant(
-                _take_whole(tokens),
-                _take_spent(spent),
-                decode_opening(openings.get(holder)),
+            _parse_holder(holder): Grant(
+                _parse_tokens(tokens),
+                _parse_spent(spent),
+                decode_schedule(schedules.get(holder)),
             )
             for holder, (tokens, spent) in spec["grants"].items()
         }
-        account = AccountLedger(_take_whole(spec["used"]), grants)
+        ledger = AccountLedger(_parse_tokens(spec["used"]), grants)
     except (AttributeError, KeyError, TypeError, ValueError) as error:
         raise ValueError(f"not an account's ledger: {error!r:.200}") from error
-    if account.committed < 0:
-        raise ValueError(f"a ledger that has given out {account.committed:.3g}")
-    return account
+    if ledger.committed < 0:
+        raise ValueError(f"a ledger that has given out {ledger.committed:.3g}")
+    return ledger
 
 
-def _take_holder(value: Any) -> str:
+def _parse_holder(value: Any) -> str:
     if not (isinstance(value, str) and "/" in value):
         raise ValueError(f"no holder: {value!r:.50}")
     return value
 
 
-def _take_whole(value: Any) -> int:
+def _parse_tokens(value: Any) -> int:
     """Return a number of tokens; nothing is converted.
 
     What goes wrong otherwise: a number cut off at its point, a truth value or one in a
@@ -263,13 +261,13 @@
     """
     if isinstance(value, bool) or not isinstance(value, int):
         raise ValueError(f"no number of tokens: {value!r:.50}")
-    if abs(value) > MOST_TOKENS:
+    if abs(value) > MAX_TOKENS:
         raise ValueError("more tokens than any account has")
     return value
 
 
-def _take_spent(value: Any) -> int:
-    spent = _take_whole(value)
+def _parse_spent(value: Any) -> int:
+    spent = _parse_tokens(value)
     if spent < 0:
         raise ValueError(f"spent {spent}")
     return spent
--- a/knapweedrail/relay/loans.py
+++ b/knapweedrail/relay/loans.py
@@ -5,21 +5,21 @@
 import time
 
 from ..events import Event, log_event
-from .accounts import HeldAccount
+from .accounts import AccountHolding
 from .allowances import Loan
-from .grants import plan_return, plan_wanted
+from .grants import plan_borrow, plan_return
 from .members import Membership
 from .models import Member
 from .neighbours import Neighbours, Trade, TradeAnswer
 from .reservations import Shortage
 from .signals import Signal
 
-REMIND_SECONDS = 4.0
+SETTLEMENT_PROMPT_SECONDS = 4.0
 """Pause between reminders of one ended life. Its host settles within some answers of
 the store, and what the reminding relay knows of the ledger is seconds old."""
 
 
-class Loans:
+class TokenBorrower:
     """Borrows tokens for this relay.
 
     Args:
@@ -36,95 +36,98 @@
         self._changed = changed
         self._holder = membership.member.holder
 
-    async def borrow(self, held: HeldAccount, tokens: int) -> Shortage | None:
+    async def borrow(self, holding: AccountHolding, tokens: int) -> Shortage | None:
         """Ask other relays in turn until what waits here can be served."""
-        while held.borrowing:
+        while holding.borrowing:
             await self._changed.wait()
-            if held.allowance.available >= tokens:
+            if holding.allowance.available >= tokens:
                 return None
-        held.borrowing = True
+        holding.borrowing = True
         try:
-            return await self._ask_lenders(held)
+            return await self._borrow_from_lenders(holding)
         finally:
-            held.borrowing = False
+            holding.borrowing = False
             self._changed.give()
 
-    async def return_excess(self, held: HeldAccount) -> None:
+    async def return_excess(self, holding: AccountHolding) -> None:
         """Give back what was borrowed and isn't needed, to who keeps the account."""
-        allowance = held.allowance
-        if held.borrowing or self._membership.keeps(held.name):
+        allowance = holding.allowance
+        if holding.borrowing or self._membership.keeps(holding.name):
             return
-        if self._holder in held.entry.grants:
+        if self._holder in holding.ledger.grants:
             # It drew on the ledger itself, and gives back there.
             return
         now = time.monotonic()
         tokens = plan_return(allowance.available, allowance.demand, now)
-        lenders = self._membership.list_lenders(held.name)
+        lenders = self._membership.list_lenders(holding.name)
         lenders = [m for m in lenders if not self._neighbours.is_avoided(m, now)]
         if not tokens or not lenders:
             return
-        await self.give_back(held, lenders[0], tokens)
+        await self.give_back(holding, lenders[0], tokens)
 
-    async def settle_doubts(self, held: HeldAccount) -> None:
+    async def resolve_unconfirmed(self, holding: AccountHolding) -> None:
         """Say what a lender may not have heard, and ask what it has lent.
 
         A lender whose answer was lost has put tokens out of use for this relay, and
         one that didn't hear of a return still counts it as lent. Until it hears what
         was spent, callers of a spent budget are told to come back.
         """
-        idle = held.allowance.demand.is_idle(time.monotonic())
+        idle = holding.allowance.demand.is_idle(time.monotonic())
         members = {m.holder: m for m in self._membership.list_others()}
-        for holder, loan in list(held.allowance.borrowed.items()):
+        for holder, loan in list(holding.allowance.borrowed.items()):
             if holder not in members and loan.returned > loan.acknowledged:
                 lost = loan.returned - loan.acknowledged
                 log_event(Event.TOKENS_LOST, lender=holder, tokens=lost)
                 loan.acknowledged = loan.returned
         for member in members.values():
-            loan = held.allowance.borrowed.get(member.holder, Loan())
-            unheard = loan.returned > loan.acknowledged
-            untold = idle and loan.spent > loan.reported
-            if unheard or untold or member.host in held.doubtful:
+            loan = holding.allowance.borrowed.get(member.holder, Loan())
+            unacknowledged = loan.returned > loan.acknowledged
+            unreported = idle and loan.spent > loan.reported
+            if unacknowledged or unreported or member.host in holding.unconfirmed_hosts:
                 if not self._neighbours.is_avoided(member, time.monotonic()):
-                    await self._trade(held, member)
+                    await self._trade(holding, member)
 
-    async def remind_hosts(self, held: HeldAccount) -> None:
+    async def prompt_settlements(self, holding: AccountHolding) -> None:
         """Remind hosts of what their earlier lives hold.
 
         Only the host itself can tell how long they lived. One that doesn't keep the
         account any more has no other reason to look at its ledger.
         """
         now = time.monotonic()
-        for holder, grant in list(held.entry.grants.items()):
+        for holder, grant in list(holding.ledger.grants.items()):
             member = self._membership.find_later(holder)
             if member is None or not member.address or grant.tokens <= grant.spent:
                 continue
             if member.holder == self._holder:
                 continue
-            if now - held.reminded.get(holder, float("-inf")) < REMIND_SECONDS:
+            if (
+                now - holding.prompted_at.get(holder, float("-inf"))
+                < SETTLEMENT_PROMPT_SECONDS
+            ):
                 continue
             if not self._neighbours.is_avoided(member, now):
-                held.reminded[holder] = now
-                await self._trade(held, member)
+                holding.prompted_at[holder] = now
+                await self._trade(holding, member)
 
     async def give_back(
-        self, held: HeldAccount, lender: Member, tokens: int
+        self, holding: AccountHolding, lender: Member, tokens: int
     ) -> TradeAnswer | None:
         """Give tokens to a relay; return ``None`` if it may not have heard."""
-        held.allowance.give_back(lender.holder, tokens)
+        holding.allowance.give_back(lender.holder, tokens)
         log_event(
             Event.TOKENS_RETURNED,
-            account=held.name,
+            account=holding.name,
             lender=lender.holder,
             tokens=tokens,
-            left=held.allowance.available,
+            left=holding.allowance.available,
         )
-        return await self._trade(held, lender)
+        return await self._trade(holding, lender)
 
-    async def _ask_lenders(self, held: HeldAccount) -> Shortage | None:
-        allowance = held.allowance
+    async def _borrow_from_lenders(self, holding: AccountHolding) -> Shortage | None:
+        allowance = holding.allowance
         shortage: Shortage | None = None
         answered: set[str] = set()
-        for member in self._membership.list_lenders(held.name):
+        for member in self._membership.list_lenders(holding.name):
             now = time.monotonic()
             needed = allowance.demand.unmet - allowance.available
             if needed <= 0:
@@ -136,12 +139,12 @@
             if self._neighbours.is_avoided(member, now):
                 continue
             answered.add(member.data_centre)
-            known = self._neighbours.recall_shortage(member, held.name, now)
+            known = self._neighbours.recall_shortage(member, holding.name, now)
             if known is not None:
                 shortage = known
                 continue
-            wanted = plan_wanted(needed, allowance.demand, now)
-            answer = await self._trade(held, member, needed, wanted)
+            wanted = plan_borrow(needed, allowance.demand, now)
+            answer = await self._trade(holding, member, needed, wanted)
             if answer is None:
                 answered.discard(member.data_centre)
             elif answer.shortage is not None:
@@ -151,12 +154,12 @@
         return shortage
 
     async def _trade(
-        self, held: HeldAccount, member: Member, needed: int = 0, wanted: int = 0
+        self, holding: AccountHolding, member: Member, needed: int = 0, wanted: int = 0
     ) -> TradeAnswer | None:
         """Ask one relay for tokens, and say what it was given back."""
-        loan = held.allowance.borrowed.get(member.holder)
+        loan = holding.allowance.borrowed.get(member.holder)
         trade = Trade(
-            account=held.name,
+            account=holding.name,
             holder=self._holder,
             lender=member.holder,
             needed=needed,
@@ -165,12 +168,12 @@
             spent=loan.spent if loan else 0,
         )
         # Until it has answered it may have lent, also when nobody waits here any more.
-        held.doubtful.add(member.host)
+        holding.unconfirmed_hosts.add(member.host)
         answer = await self._neighbours.trade(member, trade)
         if answer is None:
             return None
-        held.doubtful.discard(member.host)
-        held.allowance.borrow(answer.lender, answer.total)
+        holding.unconfirmed_hosts.discard(member.host)
+        holding.allowance.borrow(answer.lender, answer.total)
         if answer.lender != member.holder:
             self._membership.note_life(member, answer.lender)
         elif loan is not None:
--- a/knapweedrail/relay/openings.py
+++ b/knapweedrail/relay/openings.py
@@ -21,10 +21,10 @@
 of day, which is corrected in small steps; a larger one makes it another boot, and then
 all counts as used."""
 
-_SECOND = 1000
+_MILLISECONDS_PER_SECOND = 1000
 """Milliseconds."""
 
-_PARTS = 5
+_FIELD_COUNT = 5
 
 
 @attrs.frozen
@@ -42,13 +42,13 @@
     """
 
     identity: str
-    began: int
+    started_at: int
 
     def is_same(self, other: Boot) -> bool:
         """Return whether both are one boot for certain."""
         if not self.identity or self.identity != other.identity:
             return False
-        return abs(self.began - other.began) <= BOOT_TOLERANCE_MILLISECONDS
+        return abs(self.started_at - other.started_at) <= BOOT_TOLERANCE_MILLISECONDS
 
 
 @attrs.frozen
@@ -60,18 +60,18 @@
     """
 
     boot: Boot
-    at: int
+    uptime: int
 
     def measure_since(self, earlier: Moment) -> int | None:
         """Return the milliseconds since an earlier moment of the same boot; ``None``
         if that isn't certain."""
-        if not self.boot.is_same(earlier.boot) or self.at < earlier.at:
+        if not self.boot.is_same(earlier.boot) or self.uptime < earlier.uptime:
             return None
-        return self.at - earlier.at
+        return self.uptime - earlier.uptime
 
 
 @attrs.frozen
-class Opening:
+class VestingSchedule:
     """How much of a grant its holder may have used.
 
     What counts is the net use: tokens spent, set aside or lent, less those borrowed.
@@ -86,39 +86,39 @@
     rate: int
     since: Moment
 
-    def count_at(self, at: int) -> int:
+    def count_vested_at(self, uptime: int) -> int:
         """Return the tokens that are open to the holder.
 
         Args:
             at: Milliseconds since the same boot.
         """
-        return self.count_after(at - self.since.at)
+        return self.count_vested_after(uptime - self.since.uptime)
 
-    def count_after(self, elapsed: int) -> int:
+    def count_vested_after(self, elapsed: int) -> int:
         """Return the tokens that are open so many milliseconds after it was written."""
-        return self.tokens + self.rate * max(0, elapsed) // _SECOND
+        return self.tokens + self.rate * max(0, elapsed) // _MILLISECONDS_PER_SECOND
 
 
-def encode_opening(opening: Opening) -> list[Any]:
+def encode_schedule(vesting: VestingSchedule) -> list[Any]:
     """Return an opening as it is stored."""
-    since = opening.since
+    since = vesting.since
     boot = since.boot
-    return [opening.tokens, opening.rate, since.at, boot.identity, boot.began]
+    return [vesting.tokens, vesting.rate, since.uptime, boot.identity, boot.started_at]
 
 
-def decode_opening(value: Any) -> Opening | None:
+def decode_schedule(value: Any) -> VestingSchedule | None:
     """Return a stored opening; ``None`` for a spoilt one.
 
     Without it the grant is taken for open as a whole: that costs its tokens when the
     holder dies, and never lets them be used twice.
     """
-    if not isinstance(value, list) or len(value) != _PARTS:
+    if not isinstance(value, list) or len(value) != _FIELD_COUNT:
         return None
-    *numbers, identity, began = value
-    wholes = [*numbers, began]
-    if not all(type(number) is int for number in wholes):
+    *numbers, identity, started_at = value
+    integers = [*numbers, started_at]
+    if not all(type(number) is int for number in integers):
         return None
-    tokens, rate, at = numbers
-    if rate < 0 or at < 0 or not isinstance(identity, str):
+    tokens, rate, uptime = numbers
+    if rate < 0 or uptime < 0 or not isinstance(identity, str):
         return None
-    return Opening(tokens, rate, Moment(Boot(identity, began), at))
+    return VestingSchedule(tokens, rate, Moment(Boot(identity, started_at), uptime))
--- a/knapweedrail/relay/reservations.py
+++ b/knapweedrail/relay/reservations.py
@@ -33,12 +33,12 @@
 
 
 def find_shortage(
-    entry: AccountLedger,
+    ledger: AccountLedger,
     prepaid: int,
     tokens: int,
     free: int,
     reachable: bool,
-    recent: bool,
+    fresh: bool,
 ) -> Shortage | None:
     """Return why the ledger has no tokens, or ``None`` if a look may help.
 
@@ -53,8 +53,8 @@
     """
     if not reachable:
         return Shortage.OUT_OF_REACH
-    if entry.surely_used + tokens > prepaid:
+    if ledger.confirmed_used + tokens > prepaid:
         return Shortage.SPENT
-    if recent and prepaid - entry.committed < tokens - max(0, free):
+    if fresh and prepaid - ledger.committed < tokens - max(0, free):
         return Shortage.HELD_ELSEWHERE
     return None
--- a/knapweedrail/relay/successors.py
+++ b/knapweedrail/relay/successors.py
@@ -25,18 +25,18 @@
 from .models import Configuration, Runner, RunnerReport
 from .runners import RunnerTable
 
-ANSWER_SECONDS = 0.25
+REPORT_TIMEOUT_SECONDS = 0.25
 """Longest wait for a report: a runner gives it at once, without a slot."""
 
-AGAIN_SECONDS = 1.0
+REPORT_RETRY_SECONDS = 1.0
 """Pause before the same runner is asked again; its first answer may have been lost."""
 
-MOST_ASKED = 1000
+MAX_REMEMBERED_REQUESTS = 1000
 """Runners remembered as asked; beyond it the memory starts anew, at a question each."""
 
 
 @attrs.frozen
-class Found:
+class IdentityMismatch:
     """Another runner answered where one was expected.
 
     Attributes:
@@ -70,58 +70,58 @@
         self._codec = codec
         self._table = table
         self._read_configuration = read_configuration
-        self._asked: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
 
     def note(self, runner: Runner, name: str) -> None:
         """Take in that another runner answered where one was expected."""
         now = time.monotonic()
-        if now - self._asked.get(name, float("-inf")) < AGAIN_SECONDS:
+        if now - self._requested_at.get(name, float("-inf")) < REPORT_RETRY_SECONDS:
             return
         known = self._table.find_runner(name)
         if known is not None and known.address == runner.address:
             return
-        if not self._is_only_engine(runner.endpoint):
+        if not self._is_only_engine_endpoint(runner.endpoint):
             return
-        if len(self._asked) >= MOST_ASKED:
-            self._asked.clear()
-        self._asked[name] = now
-        self.tell(Found(runner, name))
+        if len(self._requested_at) >= MAX_REMEMBERED_REQUESTS:
+            self._requested_at.clear()
+        self._requested_at[name] = now
+        self.tell(IdentityMismatch(runner, name))
 
     async def run(self) -> None:
         async for envelope in self._receive:
-            found: Found = envelope.message
-            report = await self._ask(found)
+            mismatch: IdentityMismatch = envelope.message
+            report = await self._fetch_report(mismatch)
             if report is None or report.cache_tokens <= 0:
                 continue
             successor = attrs.evolve(
-                found.runner, name=found.name, started=report.started
+                mismatch.runner, name=mismatch.name, started=report.started
             )
-            if self._table.succeed(found.runner.life, successor, time.monotonic()):
+            if self._table.succeed(mismatch.runner.life, successor, time.monotonic()):
                 log_event(
                     Event.RUNNER_SUCCEEDED,
-                    runner=found.runner.name,
-                    successor=found.name,
+                    runner=mismatch.runner.name,
+                    successor=mismatch.name,
                     endpoint=successor.endpoint,
                 )
 
-    def _is_only_engine(self, endpoint: str) -> bool:
+    def _is_only_engine_endpoint(self, endpoint: str) -> bool:
         configuration = self._read_configuration()
         endpoints = configuration.endpoints.values() if configuration else ()
         return [one.name for one in endpoints if one.cache_tokens] == [endpoint]
 
-    async def _ask(self, found: Found) -> RunnerReport | None:
-        life, address = found.runner.life, found.runner.address
+    async def _fetch_report(self, mismatch: IdentityMismatch) -> RunnerReport | None:
+        life, address = mismatch.runner.life, mismatch.runner.address
         connection: RunnerConnection | None = None
         try:
-            with anyio.move_on_after(ANSWER_SECONDS):
+            with anyio.move_on_after(REPORT_TIMEOUT_SECONDS):
                 connection = await self._pool.take(
-                    life, address, time.monotonic(), _ignore
+                    life, address, time.monotonic(), _ignore_connect_time
                 )
-                return await self._converse(connection, found.name)
+                return await self._exchange_report(connection, mismatch.name)
         except ConnectionFailed as error:
             log_event(
                 Event.RUNNER_SILENT,
-                runner=found.name,
+                runner=mismatch.name,
                 step=error.step,
                 detail=error.detail,
             )
@@ -131,7 +131,7 @@
                     await self._pool.drop(life, connection)
         return None
 
-    async def _converse(
+    async def _exchange_report(
         self, connection: RunnerConnection, name: str
     ) -> RunnerReport | None:
         target, headers = self._codec.encode_report_request(connection.address, name)
@@ -141,5 +141,5 @@
         return self._codec.decode_report(head.status_code, body)
 
 
-def _ignore(seconds: float, now: float) -> None:
+def _ignore_connect_time(seconds: float, now: float) -> None:
     """Take no notice of how long a connection took."""
--- a/knapweedrail/tests/test_relay_draws.py
+++ b/knapweedrail/tests/test_relay_draws.py
@@ -3,10 +3,10 @@
 import anyio
 import pytest
 
-from ..relay.accounts import CHECK_SECONDS, RECENT_SECONDS, HeldAccount
+from ..relay.accounts import CONFIRM_SECONDS, FRESH_SECONDS, AccountHolding
 from ..relay.allowances import Allowance
 from ..relay.boots import BootClock
-from ..relay.draws import LEDGER_KIND, LedgerDraws
+from ..relay.draws import LEDGER_KIND, LedgerUpdater
 from ..relay.ledgers import AccountLedger, Grant, decode_account, encode_account
 from ..relay.members import Membership
 from ..relay.models import Member, Repetition
@@ -20,7 +20,7 @@
 OTHER = "other/1"
 
 
-class Drawing:
+class UpdaterHarness:
     """One relay that keeps an account, and another's writes."""
 
     def __init__(self):
@@ -28,12 +28,12 @@
         membership = Membership(self.store, Member("host", "host/1", "", "dc"))
         membership.settled = True
         configuration = make_configuration(make_route(Repetition.SAFE), prepaid=PREPAID)
-        self.draws = LedgerDraws(
+        self.updater = LedgerUpdater(
             self.store, membership, lambda: configuration, Signal(), BootClock()
         )
-        self.draws.first_request_at = float("-inf")
+        self.updater.first_request_at = float("-inf")
         self.account = configuration.accounts[ACCOUNT]
-        self.held = HeldAccount(ACCOUNT, Allowance("host/1"))
+        self.holding = AccountHolding(ACCOUNT, Allowance("host/1"))
 
     @property
     def stored(self):
@@ -41,140 +41,140 @@
 
     def write_as_other(self, tokens):
         """Change the ledger as another relay would."""
-        entry = decode_account(self.stored.spec)
-        entry.grants[OTHER] = Grant(tokens, 0)
-        self.store.put(LEDGER_KIND, ACCOUNT, encode_account(entry))
+        ledger = decode_account(self.stored.spec)
+        ledger.grants[OTHER] = Grant(tokens, 0)
+        self.store.put(LEDGER_KIND, ACCOUNT, encode_account(ledger))
 
     async def draw(self, tokens):
-        demand = self.held.allowance.demand
+        demand = self.holding.allowance.demand
         demand.unmet += tokens
-        shortage = await self.draws.draw(self.held, self.account, tokens)
+        shortage = await self.updater.draw(self.holding, self.account, tokens)
         demand.unmet -= tokens
         return shortage
 
-    def age(self):
+    def expire_view(self):
         """Make the view of the ledger old."""
-        self.held.seen_at = self.held.looked_at = float("-inf")
+        self.holding.seen_at = self.holding.peeked_at = float("-inf")
 
 
-async def run_draws(scenario):
-    drawing = Drawing()
+async def run_scenario(scenario):
+    harness = UpdaterHarness()
     async with anyio.create_task_group() as group:
-        drawing.draws.start(group)
-        await scenario(drawing)
+        harness.updater.start(group)
+        await scenario(harness)
         group.cancel_scope.cancel()
-    return drawing
+    return harness
 
 
-async def test_a_ledger_that_others_write_costs_one_write():
+async def test_draw_peeks_before_writing_a_contended_ledger():
     """The relays of four data centres draw on one account. Each found that another had
     written since, and had to write again: nearly every refill cost two calls, and the
     calls to the store were the dearest part of a day of 89 relays."""
 
-    async def scenario(drawing):
-        assert await drawing.draw(1000) is None
+    async def scenario(harness):
+        assert await harness.draw(1000) is None
         for number in range(5):
-            drawing.write_as_other(500 * number + 500)
-            drawing.age()
-            drawing.held.allowance.spent = drawing.held.allowance.tokens
-            assert await drawing.draw(1000) is None
+            harness.write_as_other(500 * number + 500)
+            harness.expire_view()
+            harness.holding.allowance.spent = harness.holding.allowance.tokens
+            assert await harness.draw(1000) is None
 
-    drawing = await run_draws(scenario)
-    assert drawing.store.conflicts == 0
+    harness = await run_scenario(scenario)
+    assert harness.store.conflicts == 0
 
 
-async def test_an_old_look_at_the_ledger_is_not_believed():
+async def test_stale_peek_is_ignored():
     """The store may answer a cheap question with data that is seconds old. Taken in,
     it would bring tokens back that were given away since, to be spent twice."""
 
-    async def scenario(drawing):
-        await drawing.draw(1000)
-        drawing.store.stale[LEDGER_KIND, ACCOUNT] = drawing.stored
-        planned = drawing.held.entry.copy()
+    async def scenario(harness):
+        await harness.draw(1000)
+        harness.store.stale[LEDGER_KIND, ACCOUNT] = harness.stored
+        planned = harness.holding.ledger.copy()
         planned.grants["host/1"] = Grant(0, 0)
-        assert await drawing.draws.write(drawing.held, planned)
-        drawing.age()
-        assert await drawing.draws._peek(drawing.held)
+        assert await harness.updater.write(harness.holding, planned)
+        harness.expire_view()
+        assert await harness.updater._peek(harness.holding)
 
-    drawing = await run_draws(scenario)
-    assert drawing.held.allowance.available == 0
+    harness = await run_scenario(scenario)
+    assert harness.holding.allowance.available == 0
 
 
 @pytest.mark.parametrize("fate", ["lose", "drop"])
-async def test_a_look_brings_nothing_back_that_an_unanswered_write_gave_away(fate):
+async def test_peek_does_not_undo_an_unconfirmed_return(fate):
     """A relay gives tokens back and gets no answer. Whether the write takes effect, it
     can't know yet; a look that still shows the former state proves nothing."""
 
-    async def scenario(drawing):
-        await drawing.draw(1000)
-        former = drawing.stored
-        drawing.store.fates = [fate]
-        planned = drawing.held.entry.copy()
+    async def scenario(harness):
+        await harness.draw(1000)
+        former = harness.stored
+        harness.store.fates = [fate]
+        planned = harness.holding.ledger.copy()
         planned.grants["host/1"] = Grant(0, 0)
-        assert not await drawing.draws.write(drawing.held, planned)
-        drawing.store.stale[LEDGER_KIND, ACCOUNT] = former
-        drawing.age()
-        await drawing.draws._peek(drawing.held)
+        assert not await harness.updater.write(harness.holding, planned)
+        harness.store.stale[LEDGER_KIND, ACCOUNT] = former
+        harness.expire_view()
+        await harness.updater._peek(harness.holding)
 
-    drawing = await run_draws(scenario)
-    assert drawing.held.allowance.available == 0
+    harness = await run_scenario(scenario)
+    assert harness.holding.allowance.available == 0
 
 
-async def test_nobody_is_refused_by_a_look_that_may_be_old():
+async def test_stale_peek_does_not_refuse_a_draw():
     """Another relay has just given everything back, and the cheap answer doesn't show
     it yet. The ledger itself is asked before a caller is turned away."""
 
-    async def scenario(drawing):
+    async def scenario(harness):
         full = AccountLedger(0, {OTHER: Grant(PREPAID, 0)})
-        drawing.store.put(LEDGER_KIND, ACCOUNT, encode_account(full))
-        drawing.store.stale[LEDGER_KIND, ACCOUNT] = drawing.stored
+        harness.store.put(LEDGER_KIND, ACCOUNT, encode_account(full))
+        harness.store.stale[LEDGER_KIND, ACCOUNT] = harness.stored
         free = AccountLedger(0, {})
-        drawing.store.put(LEDGER_KIND, ACCOUNT, encode_account(free))
-        assert await drawing.draw(1000) is None
+        harness.store.put(LEDGER_KIND, ACCOUNT, encode_account(free))
+        assert await harness.draw(1000) is None
 
-    await run_draws(scenario)
+    await run_scenario(scenario)
 
 
-async def test_a_store_that_gives_no_look_counts_as_away():
+async def test_failed_peek_marks_the_store_unavailable():
     """The store is down. Each further call would keep a caller waiting."""
 
-    async def scenario(drawing):
-        await drawing.draw(1000)
-        drawing.store.away = True
-        drawing.age()
-        assert not await drawing.draws._peek(drawing.held)
-        assert not drawing.draws.reachable
+    async def scenario(harness):
+        await harness.draw(1000)
+        harness.store.away = True
+        harness.expire_view()
+        assert not await harness.updater._peek(harness.holding)
+        assert not harness.updater.reachable
 
-    await run_draws(scenario)
+    await run_scenario(scenario)
 
 
-async def test_an_account_that_is_given_out_costs_hardly_a_write():
+async def test_fully_granted_account_costs_few_writes():
     """Guards against a write of each keeper for each request of a spent account."""
 
-    async def scenario(drawing):
+    async def scenario(harness):
         full = AccountLedger(0, {OTHER: Grant(PREPAID, 0)})
-        drawing.store.put(LEDGER_KIND, ACCOUNT, encode_account(full))
+        harness.store.put(LEDGER_KIND, ACCOUNT, encode_account(full))
         for _ in range(20):
-            drawing.held.seen_at -= RECENT_SECONDS
-            drawing.held.looked_at -= RECENT_SECONDS
-            assert await drawing.draw(1000) is Shortage.HELD_ELSEWHERE
+            harness.holding.seen_at -= FRESH_SECONDS
+            harness.holding.peeked_at -= FRESH_SECONDS
+            assert await harness.draw(1000) is Shortage.HELD_ELSEWHERE
 
-    drawing = await run_draws(scenario)
-    assert drawing.store.writes + drawing.store.conflicts <= 2
-    assert drawing.store.peeks <= 21
+    harness = await run_scenario(scenario)
+    assert harness.store.writes + harness.store.conflicts <= 2
+    assert harness.store.peeks <= 21
 
 
-async def test_tokens_that_came_back_are_found_by_the_next_sure_look():
+async def test_returned_tokens_are_found_by_the_next_confirmed_read():
     """Guards against callers who are refused on and on by looks that are old."""
 
-    async def scenario(drawing):
+    async def scenario(harness):
         full = AccountLedger(0, {OTHER: Grant(PREPAID, 0)})
-        drawing.store.put(LEDGER_KIND, ACCOUNT, encode_account(full))
-        assert await drawing.draw(1000) is Shortage.HELD_ELSEWHERE
-        drawing.store.stale[LEDGER_KIND, ACCOUNT] = drawing.stored
-        drawing.store.put(LEDGER_KIND, ACCOUNT, encode_account(AccountLedger(0, {})))
-        drawing.age()
-        drawing.held.checked_at -= CHECK_SECONDS
-        assert await drawing.draw(1000) is None
-
-    await run_draws(scenario)
+        harness.store.put(LEDGER_KIND, ACCOUNT, encode_account(full))
+        assert await harness.draw(1000) is Shortage.HELD_ELSEWHERE
+        harness.store.stale[LEDGER_KIND, ACCOUNT] = harness.stored
+        harness.store.put(LEDGER_KIND, ACCOUNT, encode_account(AccountLedger(0, {})))
+        harness.expire_view()
+        harness.holding.confirmed_at -= CONFIRM_SECONDS
+        assert await harness.draw(1000) is None
+
+    await run_scenario(scenario)
--- a/knapweedrail/tests/test_relay_ledger.py
+++ b/knapweedrail/tests/test_relay_ledger.py
@@ -14,9 +14,9 @@
     encode_account,
     name_holder,
     release_holder,
-    settle_earlier,
+    settle_previous_incarnations,
 )
-from ..relay.openings import Boot, Moment, Opening
+from ..relay.openings import Boot, Moment, VestingSchedule
 
 PREPAID = 100
 HOSTS = ("a", "b", "c")
@@ -34,45 +34,45 @@
         names_boots: Whether each boot has an identity of its own.
     """
 
-    def __init__(self, names_boots):
-        self.names_boots = names_boots
+    def __init__(self, has_boot_ids):
+        self.has_boot_ids = has_boot_ids
         self.boots = 0
-        self.at = 5_000
-        self.day = 1_000_000
+        self.uptime = 5_000
+        self.time_of_day = 1_000_000
 
     def read(self):
-        return Moment(Boot(self.identity, self.day - self.at), self.at)
+        return Moment(Boot(self.identity, self.time_of_day - self.uptime), self.uptime)
 
     @property
     def identity(self):
-        return f"boot-{self.boots if self.names_boots else 0}"
+        return f"boot-{self.boots if self.has_boot_ids else 0}"
 
     def advance(self, milliseconds):
-        self.at += milliseconds
-        self.day += milliseconds
+        self.uptime += milliseconds
+        self.time_of_day += milliseconds
 
     def lose_power(self, up, away):
         """Start the clock anew; it may show more than it did before."""
         self.boots += 1
-        self.at = up
-        self.day += away
+        self.uptime = up
+        self.time_of_day += away
 
 
 class Relay:
     """One life of a relay: its allowance, its view of the ledger, what it was told."""
 
-    def __init__(self, host, life, clock):
-        self.holder = name_holder(host, str(life))
+    def __init__(self, host, incarnation, clock):
+        self.holder = name_holder(host, str(incarnation))
         self.clock = clock
         self.started = clock.read()
-        self.allowance = Allowance(self.holder, lambda: clock.at)
-        self.entry = AccountLedger()
+        self.allowance = Allowance(self.holder, lambda: clock.uptime)
+        self.ledger = AccountLedger()
         self.revision = 0
 
-    def learn(self, store):
-        self.entry = decode_account(store.spec)
+    def apply_ledger(self, store):
+        self.ledger = decode_account(store.spec)
         self.revision = store.revision
-        self.allowance.learn(self.entry)
+        self.allowance.apply_ledger(self.ledger)
 
 
 class Store:
@@ -81,7 +81,7 @@
     def __init__(self):
         self.spec = encode_account(AccountLedger())
         self.revision = 0
-        self.late = []
+        self.delayed = []
 
     def write(self, spec, revision):
         if revision != self.revision:
@@ -92,34 +92,34 @@
 
 
 class PrepaidTokens(RuleBasedStateMachine):
-    names_boots = True
+    has_boot_ids = True
 
     def __init__(self):
         super().__init__()
         self.store = Store()
-        self.lives = 0
+        self.incarnations = 0
         self.spent = 0
         self.late_returns = []
-        self.clocks = {host: HostClock(self.names_boots) for host in HOSTS}
-        self.relays = {host: self.begin(host) for host in HOSTS}
+        self.clocks = {host: HostClock(self.has_boot_ids) for host in HOSTS}
+        self.relays = {host: self.start_relay(host) for host in HOSTS}
 
-    def begin(self, host):
-        self.lives += 1
-        return Relay(host, self.lives, self.clocks[host])
+    def start_relay(self, host):
+        self.incarnations += 1
+        return Relay(host, self.incarnations, self.clocks[host])
 
     def plan(self, relay, change, burst=None, rate=0):
-        entry = relay.entry.copy()
-        settle_earlier(entry, relay.holder, relay.started)
-        grant = relay.allowance.record(entry)
-        change = min(change, PREPAID - entry.committed)
+        ledger = relay.ledger.copy()
+        settle_previous_incarnations(ledger, relay.holder, relay.started)
+        grant = relay.allowance.record_spent(ledger)
+        change = min(change, PREPAID - ledger.committed)
         change = max(change, -max(0, relay.allowance.free))
-        opening = None
+        vesting = None
         if burst is not None:
             opened = relay.allowance.used + burst
-            opening = Opening(opened, rate, relay.clock.read())
-        entry.grants[relay.holder] = Grant(grant.tokens + change, grant.spent, opening)
-        relay.allowance.prepare(entry)
-        return entry
+            vesting = VestingSchedule(opened, rate, relay.clock.read())
+        ledger.grants[relay.holder] = Grant(grant.tokens + change, grant.spent, vesting)
+        relay.allowance.prepare_write(ledger)
+        return ledger
 
     @rule(
         host=hosts,
@@ -133,10 +133,10 @@
         relay = self.relays[host]
         spec = encode_account(self.plan(relay, change, burst, rate))
         if fate == "l":
-            self.store.late.append((spec, relay.revision))
+            self.store.delayed.append((spec, relay.revision))
         elif fate == "a":
             self.store.write(spec, relay.revision)
-            relay.learn(self.store)
+            relay.apply_ledger(self.store)
         elif fate == "n":
             self.store.write(spec, relay.revision)
 
@@ -144,27 +144,29 @@
     def refill(self, host, change, burst, rate):
         """What mostly happens: the relay looks, writes, and hears that it did."""
         relay = self.relays[host]
-        relay.learn(self.store)
+        relay.apply_ledger(self.store)
         planned = encode_account(self.plan(relay, change, burst, rate))
         assert self.store.write(planned, relay.revision)
-        relay.learn(self.store)
+        relay.apply_ledger(self.store)
 
     @rule()
-    @precondition(lambda self: self.store.late)
+    @precondition(lambda self: self.store.delayed)
     def apply_late_write(self):
-        self.store.write(*self.store.late.pop(0))
+        self.store.write(*self.store.delayed.pop(0))
 
-    @rule(lender=hosts, borrower=hosts, tokens=amounts, heard=st.booleans())
-    def lend(self, lender, borrower, tokens, heard):
+    @rule(lender=hosts, borrower=hosts, tokens=amounts, delivered=st.booleans())
+    def lend(self, lender, borrower, tokens, delivered):
         lender, borrower = self.relays[lender], self.relays[borrower]
         if lender is borrower or lender.allowance.available < tokens:
             return
         total = lender.allowance.lend(borrower.holder, tokens)
-        if heard:
+        if delivered:
             borrower.allowance.borrow(lender.holder, total)
 
-    @rule(lender=hosts, borrower=hosts, kept=st.integers(0, 20), heard=st.booleans())
-    def give_back(self, lender, borrower, kept, heard):
+    @rule(
+        lender=hosts, borrower=hosts, kept=st.integers(0, 20), delivered=st.booleans()
+    )
+    def give_back(self, lender, borrower, kept, delivered):
         """Tokens go back, to whoever; the message may arrive late, and twice."""
         lender, borrower = self.relays[lender], self.relays[borrower]
         tokens = borrower.allowance.available - kept
@@ -174,19 +176,19 @@
         loan = borrower.allowance.borrowed[lender.holder]
         message = (lender.holder, borrower.holder, loan.returned, loan.spent)
         self.late_returns.append(message)
-        if heard:
-            self.hear_return(message)
+        if delivered:
+            self.deliver_return(message)
 
     @rule(number=st.integers(0, 50))
     @precondition(lambda self: self.late_returns)
-    def hear_late_return(self, number):
-        self.hear_return(self.late_returns[number % len(self.late_returns)])
+    def deliver_late_return(self, number):
+        self.deliver_return(self.late_returns[number % len(self.late_returns)])
 
-    def hear_return(self, message):
+    def deliver_return(self, message):
         holder, borrower, returned, spent = message
         for relay in self.relays.values():
             if relay.holder == holder:
-                relay.allowance.take_back(borrower, returned, spent)
+                relay.allowance.accept_return(borrower, returned, spent)
 
     @rule(host=hosts, kept=st.integers(0, 20))
     def spend(self, host, kept):
@@ -198,14 +200,14 @@
             allowance.settle(tokens, tokens)
 
     @rule(host=hosts, tokens=amounts)
-    def begin_request(self, host, tokens):
+    def start_request(self, host, tokens):
         """A request that is still under way when the relay ends, and may use all."""
         if self.relays[host].allowance.reserve(tokens):
             self.spent += tokens
 
     @rule(host=hosts)
     def crash(self, host):
-        self.relays[host] = self.begin(host)
+        self.relays[host] = self.start_relay(host)
 
     @rule()
     def crash_all(self):
@@ -218,56 +220,58 @@
         self.crash(host)
 
     @rule(milliseconds=st.integers(1, 4_000))
-    def pass_time(self, milliseconds):
+    def advance_clocks(self, milliseconds):
         for clock in self.clocks.values():
             clock.advance(milliseconds)
 
     @rule(host=hosts, milliseconds=st.integers(-5_000, 5_000))
-    @precondition(lambda self: self.names_boots)
+    @precondition(lambda self: self.has_boot_ids)
     def step_time_of_day(self, host, milliseconds):
-        self.clocks[host].day += milliseconds
+        self.clocks[host].time_of_day += milliseconds
 
     @rule()
-    def rewrite_by_the_version_before(self):
+    def rewrite_without_schedules(self):
         """A relay that knows of no openings writes the ledger, as it was otherwise."""
         spec = copy.deepcopy(self.store.spec)
         spec.pop("openings", None)
         self.store.write(spec, self.store.revision)
 
     @rule(host=hosts, applied=st.booleans(), again=st.booleans())
-    def stop(self, host, applied, again):
+    def stop_relay(self, host, applied, again):
         """Gives back what is left, to the ledger; the answer may be lost at first."""
         relay = self.relays[host]
         for _ in range(2 if again else 1):
-            planned = relay.entry.copy()
-            relay.allowance.record(planned)
+            planned = relay.ledger.copy()
+            relay.allowance.record_spent(planned)
             returned = relay.allowance.free + relay.allowance.withheld
             release_holder(planned, relay.holder, max(0, returned))
-            relay.allowance.prepare(planned)
+            relay.allowance.prepare_write(planned)
             if applied:
                 self.store.write(encode_account(planned), relay.revision)
-        self.relays[host] = self.begin(host)
+        self.relays[host] = self.start_relay(host)
 
     @invariant()
     def never_overspent(self):
-        at_hand = sum(max(0, r.allowance.available) for r in self.relays.values())
+        total_available = sum(
+            max(0, r.allowance.available) for r in self.relays.values()
+        )
         assert self.spent <= PREPAID
         # What could be spent at once, with no word from the store, fits as well.
-        assert self.spent + at_hand <= PREPAID
+        assert self.spent + total_available <= PREPAID
         # And so does what opens later.
         later = sum(max(0, r.allowance.free) for r in self.relays.values())
         assert self.spent + later <= PREPAID
 
     @invariant()
-    def the_ledger_covers_what_is_spent(self):
-        entry = decode_account(self.store.spec)
-        assert entry.committed <= PREPAID
+    def ledger_covers_spending(self):
+        ledger = decode_account(self.store.spec)
+        assert ledger.committed <= PREPAID
 
     @invariant()
-    def what_counts_as_surely_reported_is_spent(self):
+    def reported_spending_is_real(self):
         """ "Spent" is told to callers: holders must not report each other's twice."""
-        entry = decode_account(self.store.spec)
-        assert sum(grant.spent for grant in entry.grants.values()) <= self.spent
+        ledger = decode_account(self.store.spec)
+        assert sum(grant.spent for grant in ledger.grants.values()) <= self.spent
 
 
 PrepaidTokens.TestCase.settings = settings(
@@ -276,67 +280,67 @@
 TestPrepaidTokens = PrepaidTokens.TestCase
 
 
-class PrepaidTokensOfNamelessBoots(PrepaidTokens):
+class PrepaidTokensWithoutBootIds(PrepaidTokens):
     """All boots of a host have one identity, and its time of day tells them apart."""
 
-    names_boots = False
+    has_boot_ids = False
 
 
-PrepaidTokensOfNamelessBoots.TestCase.settings = settings(
+PrepaidTokensWithoutBootIds.TestCase.settings = settings(
     max_examples=500, stateful_step_count=30, deadline=None
 )
-TestPrepaidTokensOfNamelessBoots = PrepaidTokensOfNamelessBoots.TestCase
+TestPrepaidTokensWithoutBootIds = PrepaidTokensWithoutBootIds.TestCase
 
 
-def test_what_a_stopped_lender_has_lent_is_not_called_spent():
+def test_tokens_lent_by_a_stopped_relay_are_not_reported_as_spent():
     """A relay that lends to another is restarted. Its borrower still has tokens, and
     callers must not hear that the budget is spent."""
-    entry = AccountLedger(0, {"a/1": Grant(80, 30)})
-    release_holder(entry, "a/1", 20)
-    assert entry.surely_used == 30
-    assert entry.committed == 60
+    ledger = AccountLedger(0, {"a/1": Grant(80, 30)})
+    release_holder(ledger, "a/1", 20)
+    assert ledger.confirmed_used == 30
+    assert ledger.committed == 60
 
 
-def test_tokens_come_back_to_another_lender_when_theirs_is_gone():
+def test_tokens_of_a_dead_lender_are_returned_to_another_lender():
     """A relay borrows, its lender dies, and is written off. What the borrower has left
     goes to the next relay that keeps the account, and serves callers again."""
     first, borrower, second = Allowance("a/1"), Allowance("b/1"), Allowance("c/1")
-    entry = AccountLedger(0, {"a/1": Grant(100, 0)})
-    first.learn(entry)
+    ledger = AccountLedger(0, {"a/1": Grant(100, 0)})
+    first.apply_ledger(ledger)
     borrower.borrow("a/1", first.lend("b/1", 60))
-    settle_earlier(entry, "a/2")
-    assert entry.committed == 100
+    settle_previous_incarnations(ledger, "a/2")
+    assert ledger.committed == 100
     borrower.give_back("c/1", 60)
     loan = borrower.borrowed["c/1"]
-    second.take_back("b/1", loan.returned, loan.spent)
+    second.accept_return("b/1", loan.returned, loan.spent)
     assert second.available == 60
     # Given back to the ledger, they are free again for all.
-    entry.grants["c/1"] = Grant(-60, 0)
-    second.prepare(entry)
+    ledger.grants["c/1"] = Grant(-60, 0)
+    second.prepare_write(ledger)
     assert second.available == 0
-    assert entry.committed == 40
+    assert ledger.committed == 40
 
 
-def test_what_a_borrower_spent_is_reported_once():
+def test_borrowed_tokens_are_reported_as_spent_once():
     """A relay spends what it borrowed. Were it reported by lender and borrower both,
     callers would hear that a budget is spent of which half is left."""
     lender, borrower = Allowance("a/1"), Allowance("b/1")
-    entry = AccountLedger(0, {"a/1": Grant(100, 0), "b/1": Grant(50, 0)})
-    lender.learn(entry)
-    borrower.learn(entry)
+    ledger = AccountLedger(0, {"a/1": Grant(100, 0), "b/1": Grant(50, 0)})
+    lender.apply_ledger(ledger)
+    borrower.apply_ledger(ledger)
     borrower.borrow("a/1", lender.lend("b/1", 60))
     assert borrower.reserve(60)
     borrower.settle(60, 60)
     loan = borrower.borrowed["a/1"]
-    lender.take_back("b/1", loan.returned, loan.spent)
-    assert borrower.record(entry).spent == 0
-    assert lender.record(entry).spent == 60
+    lender.accept_return("b/1", loan.returned, loan.spent)
+    assert borrower.record_spent(ledger).spent == 0
+    assert lender.record_spent(ledger).spent == 60
 
 
-def test_what_ended_holders_have_is_told_from_what_others_hold():
+def test_tokens_of_ended_holders_are_counted_separately():
     """Guards against a refusal whose log doesn't say whether tokens wait for a
     settlement."""
-    entry = AccountLedger(10, {"a/1": Grant(80, 30), "a/2": Grant(20, 5)})
-    assert entry.count_ended(lambda holder: holder != "a/1") == 50
-    assert entry.count_held(but="a/2") == 50
-    assert entry.count_ended(lambda holder: True) == 0
+    ledger = AccountLedger(10, {"a/1": Grant(80, 30), "a/2": Grant(20, 5)})
+    assert ledger.count_ended(lambda holder: holder != "a/1") == 50
+    assert ledger.count_held(excluding="a/2") == 50
+    assert ledger.count_ended(lambda holder: True) == 0
--- a/knapweedrail/tests/test_relay_lending.py
+++ b/knapweedrail/tests/test_relay_lending.py
@@ -11,7 +11,7 @@
 from ..relay import holdings as holdings_module
 from ..relay import neighbours as neighbours_module
 from ..relay.draws import LEDGER_KIND
-from ..relay.holdings import Holdings, draw_pause
+from ..relay.holdings import Holdings, compute_refill_pause
 from ..relay.ledgers import decode_account, name_holder
 from ..relay.members import Membership, compute_pause, order_lenders
 from ..relay.models import Account, Member, Repetition
@@ -23,7 +23,7 @@
 
 ACCOUNT = "farm"
 
-PATIENCE_SECONDS = 10.0
+TEST_TIMEOUT_SECONDS = 10.0
 """Waits of relays in these tests. They ask who has tokens, not how fast: two dozen
 relays share one process here, and on a busy machine the first of them waited longer
 than callers do, and refused."""
@@ -34,11 +34,11 @@
 
 
 @pytest.fixture(autouse=True)
-def be_patient(monkeypatch):
-    monkeypatch.setattr(holdings_module, "WAIT_SECONDS", PATIENCE_SECONDS)
-    monkeypatch.setattr(holdings_module, "LEND_SECONDS", PATIENCE_SECONDS)
-    monkeypatch.setattr(neighbours_module, "LEND_SECONDS", PATIENCE_SECONDS)
-    monkeypatch.setattr(neighbours_module, "CALL_SECONDS", PATIENCE_SECONDS)
+def extend_timeouts(monkeypatch):
+    monkeypatch.setattr(holdings_module, "TOKEN_WAIT_SECONDS", TEST_TIMEOUT_SECONDS)
+    monkeypatch.setattr(holdings_module, "LEND_SECONDS", TEST_TIMEOUT_SECONDS)
+    monkeypatch.setattr(neighbours_module, "LEND_SECONDS", TEST_TIMEOUT_SECONDS)
+    monkeypatch.setattr(neighbours_module, "CALL_SECONDS", TEST_TIMEOUT_SECONDS)
 
 
 class Fleet:
@@ -92,7 +92,7 @@
     async def reserve(self, host, tokens):
         return await self.holdings[host].reserve(self.account, tokens)
 
-    def find_keeper(self, data_centre):
+    def find_primary(self, data_centre):
         """Return the host that keeps the account for a data centre."""
         for host, membership in self.memberships.items():
             here = membership.member.data_centre == data_centre
@@ -101,11 +101,11 @@
         raise LookupError(data_centre)
 
     def list_others(self, data_centre):
-        keeper = self.find_keeper(data_centre)
+        primary = self.find_primary(data_centre)
         return [
             host
             for host, membership in self.memberships.items()
-            if membership.member.data_centre == data_centre and host != keeper
+            if membership.member.data_centre == data_centre and host != primary
         ]
 
     def read_ledger(self):
@@ -126,7 +126,7 @@
         group.cancel_scope.cancel()
 
 
-async def test_many_relays_with_few_requests_each_share_a_small_budget():
+async def test_many_relays_share_a_small_budget():
     """Twenty-four relays see one request each of an account that has little more than
     they need. With a holding of its own at each relay, the first ones would have taken
     what the last ones' callers need, and these would hear that tokens are out of
@@ -137,12 +137,12 @@
             assert isinstance(found, Reservation), host
             found.settle(1000)
         assert set(fleet.read_ledger().grants) <= {
-            f"{fleet.find_keeper(f'dc-{n}')}/1" for n in range(3)
+            f"{fleet.find_primary(f'dc-{n}')}/1" for n in range(3)
         }
         assert fleet.store.writes <= 30
 
 
-async def test_what_an_idle_relay_borrowed_serves_callers_elsewhere():
+async def test_idle_relay_returns_borrowed_tokens():
     """One relay had large requests that used little, and then none any more. A caller
     at another relay needs nearly all that is left, and must get it."""
     async with run_fleet(10_000, 3) as fleet:
@@ -158,16 +158,16 @@
         assert fleet.holdings[first].read_available(ACCOUNT) < 1000
 
 
-async def test_the_next_relay_lends_when_the_first_is_dead():
+async def test_next_relay_lends_if_the_primary_is_dead():
     """The relay that keeps an account is killed. Callers at the others of its data
     centre are served all the same, after one call that fails."""
     async with run_fleet(100_000, 3) as fleet:
-        await fleet.servers[fleet.find_keeper("dc-0")].close()
+        await fleet.servers[fleet.find_primary("dc-0")].close()
         for host in fleet.list_others("dc-0"):
             assert isinstance(await fleet.reserve(host, 1000), Reservation)
 
 
-async def test_borrowers_are_served_while_the_store_is_away():
+async def test_borrowers_are_served_while_the_store_is_unavailable():
     """The store is down for some seconds. Callers at every relay are served out of what
     was drawn before; who finds nothing left hears that the budget is out of reach, not
     that it is spent."""
@@ -181,7 +181,7 @@
         assert found in (Shortage.OUT_OF_REACH, Shortage.HELD_ELSEWHERE)
 
 
-async def test_a_restarted_lender_takes_nothing_back_for_its_former_life():
+async def test_restarted_lender_accepts_no_return_for_its_previous_incarnation():
     """A relay gives tokens back to its lender, which has been restarted at the same
     address meanwhile. The former life may have spent what the message speaks of, and
     the new one would spend it a second time."""
@@ -199,12 +199,12 @@
         assert holdings.read_available(ACCOUNT) == before + 700
 
 
-async def test_what_was_lent_in_a_lost_answer_is_found_again():
+async def test_loan_of_a_lost_answer_is_recovered():
     """A lender's answer is lost on its way. The tokens are out of use at the lender;
     without another question they would be so until the borrower's next shortage."""
     async with run_fleet(10_000, 2) as fleet:
         (borrower,) = fleet.list_others("dc-0")
-        lender = fleet.holdings[fleet.find_keeper("dc-0")]
+        lender = fleet.holdings[fleet.find_primary("dc-0")]
         holdings = fleet.holdings[borrower]
         # What the lender sent, and the borrower never saw.
         await lender.answer_trade(
@@ -216,15 +216,15 @@
                 wanted=800,
             )
         )
-        held = holdings._get(ACCOUNT)
-        held.allowance.borrow(lender._holder, 0)
-        held.doubtful.add(fleet.find_keeper("dc-0"))
+        holding = holdings._get(ACCOUNT)
+        holding.allowance.borrow(lender._holder, 0)
+        holding.unconfirmed_hosts.add(fleet.find_primary("dc-0"))
         with anyio.fail_after(5):
-            while held.allowance.borrowed[lender._holder].total < 800:
+            while holding.allowance.borrowed[lender._holder].total < 800:
                 await anyio.sleep(0.1)
 
 
-async def test_a_spent_budget_is_called_spent_at_relays_that_borrow():
+async def test_borrowing_relay_reports_a_spent_budget():
     """All of a budget is used. A caller at a relay that doesn't draw on the ledger
     hears so as well, and doesn't come back for nothing."""
     async with run_fleet(1000, 3) as fleet:
@@ -235,7 +235,7 @@
                 await anyio.sleep(0.2)
 
 
-def test_lenders_are_chosen_alike_and_change_little():
+def test_lender_order_is_consistent_and_stable():
     """Relays that chose different lenders would each draw on the ledger. One that comes
     or goes must not move accounts that it doesn't keep."""
     members = [Member(f"h-{n}", f"h-{n}/1", f"a:{n}", f"dc-{n % 3}") for n in range(30)]
@@ -248,7 +248,7 @@
         assert order_lenders(account, fewer, "dc-0", "none/1")[0] == asked[0]
 
 
-async def test_tokens_given_back_to_the_ledger_serve_who_found_none():
+async def test_tokens_returned_to_the_ledger_are_found_by_other_relays():
     """One relay holds all of a budget, and gives it back to the ledger. A relay of
     another data centre had seen the ledger empty; its callers would be refused for as
     long as it went by that."""
@@ -268,7 +268,7 @@
                 await anyio.sleep(0.2)
 
 
-async def test_a_store_that_resets_every_connection_is_left_alone():
+async def test_store_that_resets_connections_is_called_rarely():
     """The store ends each connection as soon as something is written. Every request
     that finds too few tokens would call it over and over, and wait for that."""
     async with run_fleet(100_000, 1) as fleet:
@@ -279,29 +279,35 @@
         assert 500 - len(fleet.store.fates) <= 10
 
 
-def test_relays_that_start_together_do_not_look_at_the_same_moments():
+def test_refill_pauses_of_relays_drift_apart():
     """All hosts get their power back at once. Relays that keep the same account would
     write its ledger at the same moment in every second from then on, and each write
     but one be made again."""
-    looks = []
+    refills = []
     for seed in range(4):
         rng = random.Random(seed)
-        looks.append(
-            list(itertools.accumulate(draw_pause(False, rng) for _ in range(40)))
+        refills.append(
+            list(
+                itertools.accumulate(
+                    compute_refill_pause(False, rng) for _ in range(40)
+                )
+            )
         )
-    first = looks[0]
+    first = refills[0]
     # A write takes some milliseconds; looks as near as that are few.
-    near = sum(abs(a - b) < 0.02 for others in looks[1:] for a in first for b in others)
+    near = sum(
+        abs(a - b) < 0.02 for others in refills[1:] for a in first for b in others
+    )
     assert near <= 12
     assert 35 < first[-1] < 45
 
 
-async def test_what_was_lent_to_a_request_that_gave_up_waiting_is_found_again():
+async def test_loan_for_a_timed_out_request_is_returned():
     """A caller's time to wait for tokens is over while a lender is asked. The lender
     has put them out of use, and would keep them so for the rest of the day."""
     async with run_fleet(10_000, 2) as fleet:
         (borrower,) = fleet.list_others("dc-0")
-        lender = fleet.holdings[fleet.find_keeper("dc-0")]
+        lender = fleet.holdings[fleet.find_primary("dc-0")]
         answer_trade = lender.answer_trade
 
         async def answer_late(trade):
@@ -317,7 +323,7 @@
                 await anyio.sleep(0.1)
 
 
-def test_the_list_of_many_relays_leaves_room_on_their_links():
+def test_relay_list_traffic_is_bounded():
     """Five hundred relays list each other. At the pause of six, the lists would take
     all that a host may use for control."""
     entry_bytes, most_bytes = 231, 23_000
@@ -326,7 +332,7 @@
     assert compute_pause(6) == compute_pause(89)
 
 
-async def test_who_keeps_an_account_is_found_anew_when_relays_come():
+async def test_primary_relay_changes_as_relays_join():
     """Relays come, and the one that kept all accounts goes on drawing for some that
     others draw for as well: more writes to their ledgers than these bear."""
     store = MemoryStore()
--- a/knapweedrail/tests/test_relay_power_loss.py
+++ b/knapweedrail/tests/test_relay_power_loss.py
@@ -30,13 +30,13 @@
     return {name: int(tokens * seconds * w / whole) for name, w in WEIGHTS.items()}
 
 
-def play(lasts, seed, scenario):
+def run_scenario(budget_seconds, seed, scenario):
     """Play a scenario with a fleet whose budgets last so many seconds."""
 
     async def run(clock):
         random.seed(seed)
         async with anyio.create_task_group() as group:
-            fleet = TokenFleet(group, DATA_CENTRES, make_budgets(lasts), seed)
+            fleet = TokenFleet(group, DATA_CENTRES, make_budgets(budget_seconds), seed)
             fleet.start_all()
             await anyio.sleep(START_SECONDS)
             found = await scenario(fleet)
@@ -48,7 +48,7 @@
     return run_virtual(run)
 
 
-async def cut_all(fleet, seconds):
+async def partition_all(fleet, seconds):
     fleet.isolate(fleet.hosts)
     tally = await fleet.send_for(seconds, KINDS, WEIGHTS)
     fleet.join()
@@ -62,27 +62,27 @@
     fleet.start_all()
 
 
-@pytest.mark.parametrize("lasts", [40, 45, 50])
+@pytest.mark.parametrize("budget_seconds", [40, 45, 50])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_callers_are_served_some_time_after_all_hosts_lost_power(lasts, seed):
+def test_callers_are_served_after_power_loss_of_all_hosts(budget_seconds, seed):
     """Guards against budgets that are written off unused when all hosts lose power."""
 
     async def scenario(fleet):
         await fleet.send_for(5.0, KINDS, WEIGHTS)
-        await cut_all(fleet, 8.0)
+        await partition_all(fleet, 8.0)
         await fleet.send_for(11.0, KINDS, WEIGHTS)
-        await cut_all(fleet, 8.8)
+        await partition_all(fleet, 8.8)
         await fleet.send_for(8.3, KINDS, WEIGHTS)
         await lose_all_power(fleet)
         await fleet.send_for(RECOVERY_SECONDS, KINDS, WEIGHTS)
         return await fleet.send_for(4.0, KINDS, WEIGHTS)
 
-    tally = play(lasts, seed, scenario)
+    tally = run_scenario(budget_seconds, seed, scenario)
     assert tally.served >= SERVED_SHARE * tally.owed
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_what_a_relay_drew_for_itself_is_settled_by_its_next_life(seed):
+def test_direct_draw_is_settled_by_the_next_incarnation(seed):
     """Guards against tokens that stay out of reach, since the host that drew them keeps
     the account no more after its restart."""
 
@@ -99,4 +99,4 @@
         await anyio.sleep(RECOVERY_SECONDS)
         return fleet.count_ended(account)
 
-    assert play(200, seed, scenario) == 0
+    assert run_scenario(200, seed, scenario) == 0
--- a/knapweedrail/tests/test_relay_recovery.py
+++ b/knapweedrail/tests/test_relay_recovery.py
@@ -30,23 +30,23 @@
         day: Unix milliseconds.
     """
 
-    def __init__(self, identity="boot-1", at=60_000, day=1_000_000):
-        self.identity, self.at, self.day = identity, at, day
+    def __init__(self, identity="boot-1", uptime=60_000, time_of_day=1_000_000):
+        self.identity, self.uptime, self.time_of_day = identity, uptime, time_of_day
         self.started = self.read()
 
     def read(self):
-        return Moment(Boot(self.identity, self.day - self.at), self.at)
+        return Moment(Boot(self.identity, self.time_of_day - self.uptime), self.uptime)
 
     def read_milliseconds(self):
-        return self.at
+        return self.uptime
 
     def advance(self, milliseconds):
-        self.at += milliseconds
-        self.day += milliseconds
+        self.uptime += milliseconds
+        self.time_of_day += milliseconds
 
     def restart(self):
         """Return the clock as the next process of this host finds it."""
-        return ScriptedClock(self.identity, self.at, self.day)
+        return ScriptedClock(self.identity, self.uptime, self.time_of_day)
 
 
 class Host:
@@ -56,7 +56,7 @@
         self.store = store
         self.name = name
         self.known = known
-        self.lives = 0
+        self.incarnations = 0
         self.clock = ScriptedClock()
         self.account = Account(name=ACCOUNT, keys=(), prepaid=PREPAID)
         self.configuration = make_configuration(
@@ -65,9 +65,11 @@
         self.holdings = None
 
     async def start(self, group, clock=None, knows_demand=True):
-        self.lives += 1
+        self.incarnations += 1
         self.clock = clock or self.clock.restart()
-        member = Member(self.name, f"{self.name}/{self.lives}", "", f"dc-{self.name}")
+        member = Member(
+            self.name, f"{self.name}/{self.incarnations}", "", f"dc-{self.name}"
+        )
         membership = Membership(self.store, member)
         membership.settled = True
         self.holdings = Holdings(
@@ -78,7 +80,7 @@
             clock=self.clock,
         )
         if knows_demand:
-            self.holdings._draws.first_request_at = float("-inf")
+            self.holdings._updater.first_request_at = float("-inf")
         await self.holdings.start(group)
 
     async def kill(self):
@@ -119,7 +121,7 @@
         group.cancel_scope.cancel()
 
 
-async def test_callers_are_served_with_what_a_killed_relay_held():
+async def test_unused_tokens_of_a_killed_relay_serve_callers():
     """A relay holds many tokens and is killed after it used few of them. Its callers
     come back to the next process there, and would be refused to the end of the day
     though most of their budget was never used."""
@@ -138,7 +140,7 @@
     await run_hosts(1, scenario)
 
 
-async def test_twice_killed_in_a_row_costs_little_each_time():
+async def test_repeated_crashes_lose_few_tokens():
     """A relay is killed, and its successor too before it has served many."""
 
     async def scenario(group, store, hosts):
@@ -156,7 +158,7 @@
     await run_hosts(1, scenario)
 
 
-async def test_all_relays_killed_at_once_leave_most_of_a_budget():
+async def test_crash_of_all_relays_leaves_most_of_the_budget():
     """All relays of a fleet are killed at one moment. Each one's successor settles its
     grant, and what nobody used serves callers again."""
 
@@ -180,7 +182,7 @@
     await run_hosts(3, scenario)
 
 
-async def test_a_relay_killed_in_a_cut_leaves_what_had_not_opened():
+async def test_relay_killed_in_an_outage_leaves_unvested_tokens():
     """The store is away, a relay serves out of what it holds and is killed meanwhile.
     The longer it was cut off the more it may have used, and no more is lost."""
 
@@ -207,14 +209,14 @@
 @pytest.mark.parametrize(
     "clock",
     [
-        ScriptedClock("boot-2", at=70_000),
-        ScriptedClock("boot-1", at=70_000, day=1_900_000),
-        ScriptedClock("", at=61_000, day=1_001_000),
-        ScriptedClock("boot-1", at=1_000, day=941_000),
+        ScriptedClock("boot-2", uptime=70_000),
+        ScriptedClock("boot-1", uptime=70_000, time_of_day=1_900_000),
+        ScriptedClock("", uptime=61_000, time_of_day=1_001_000),
+        ScriptedClock("boot-1", uptime=1_000, time_of_day=941_000),
     ],
     ids=["another boot", "set back", "nameless", "clock went back"],
 )
-async def test_nothing_comes_back_where_the_clock_proves_nothing(clock):
+async def test_grant_counts_as_used_if_the_boot_is_uncertain(clock):
     """A host loses power, or is set back to a snapshot. How long the relay lived on
     after its last write isn't known, so all that it held counts as used."""
 
@@ -232,7 +234,7 @@
     await run_hosts(1, scenario)
 
 
-async def test_a_step_of_the_time_of_day_costs_nothing_once_it_was_seen():
+async def test_time_of_day_step_loses_no_tokens_after_a_rewrite():
     """The time of day is set on a host, and its relay is killed some seconds later. By
     the time of day alone it would look as if the host had started anew meanwhile."""
 
@@ -240,10 +242,10 @@
         host = hosts[0]
         for _ in range(8):
             assert isinstance(await host.use(100), Reservation)
-        host.clock.day -= 3_000
+        host.clock.time_of_day -= 3_000
         with anyio.fail_after(5):
             while not any(
-                grant.opening.since.boot.is_same(host.clock.read().boot)
+                grant.vesting.since.boot.is_same(host.clock.read().boot)
                 for grant in read_ledger(store).grants.values()
             ):
                 await anyio.sleep(0.05)
@@ -255,7 +257,7 @@
     await run_hosts(1, scenario)
 
 
-async def test_others_callers_take_nothing_from_a_start_at_the_beginning_of_a_day():
+async def test_relay_starting_with_the_fleet_keeps_its_initial_tokens():
     """A day begins, and an account is asked for at one host first. At the others its
     first callers may meet a cut, and find what was held for them all the same."""
 
@@ -267,9 +269,9 @@
         for _ in range(8):
             assert isinstance(await first.use(1000), Reservation)
         await anyio.sleep(1.5)
-        assert read_ledger(store).surely_used
+        assert read_ledger(store).confirmed_used
         assert isinstance(await second.use(10), Reservation)
-        second.holdings._draws.refresh_soon(second.holdings._get(ACCOUNT))
+        second.holdings._updater.schedule_refresh(second.holdings._get(ACCOUNT))
         await anyio.sleep(1.5)
         store.away = True
         assert isinstance(await second.use(2000), Reservation)
@@ -277,12 +279,12 @@
     await run_hosts(2, scenario)
 
 
-async def test_an_account_that_nobody_asks_for_costs_no_writes(monkeypatch):
+async def test_idle_account_costs_no_writes(monkeypatch):
     """Hundreds of thousands of accounts are quiet at any time, and each keeper looks at
     all of its own once a second. Were their grants written anew as they open, the store
     would have no calls left for those that are asked for."""
 
-    monkeypatch.setattr(holdings_module, "REFILL_SECONDS", 0.05)
+    monkeypatch.setattr(holdings_module, "REFILL_INTERVAL_SECONDS", 0.05)
 
     async def scenario(group, store, hosts):
         host = hosts[0]
@@ -298,20 +300,20 @@
     await run_hosts(1, scenario)
 
 
-async def test_a_grant_of_the_version_before_counts_as_used():
+async def test_grant_of_the_previous_version_counts_as_used():
     """While a new version is rolled out, relays of the one before write grants that
     don't tell how they open; their holders may have used all of them."""
 
     async def scenario(group, store, hosts):
         host = hosts[0]
         assert isinstance(await host.use(1000), Reservation)
-        entry = read_ledger(store)
+        ledger = read_ledger(store)
         grants = {
-            name: attrs.evolve(grant, opening=None)
-            for name, grant in entry.grants.items()
+            name: attrs.evolve(grant, vesting=None)
+            for name, grant in ledger.grants.items()
         }
-        granted = entry.committed
-        spec = encode_account(attrs.evolve(entry, grants=grants))
+        granted = ledger.committed
+        spec = encode_account(attrs.evolve(ledger, grants=grants))
         spec.pop("openings")
         await host.kill()
         store.put(KIND, ACCOUNT, spec)
@@ -323,10 +325,10 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid",
     [None, [], [1, 2, 3], ["1", 2, 3, "b", 4], [1, -2, 3, "b", 4], {"tokens": 0}],
 )
-async def test_a_spoilt_opening_opens_its_grant_as_a_whole(spoilt):
+async def test_invalid_schedule_counts_as_fully_vested(invalid):
     """Another writer spoils how a grant opens. The rest of the ledger is read, and the
     grant counts as used when its holder is gone."""
 
@@ -335,7 +337,7 @@
         assert isinstance(await host.use(1000), Reservation)
         spec = encode_account(read_ledger(store))
         granted = read_ledger(store).committed
-        spec["openings"] = dict.fromkeys(spec["openings"], spoilt)
+        spec["openings"] = dict.fromkeys(spec["openings"], invalid)
         await host.kill()
         store.put(KIND, ACCOUNT, spec)
         await host.start(group)
@@ -345,7 +347,7 @@
     await run_hosts(1, scenario)
 
 
-async def test_a_relay_that_starts_in_the_middle_of_a_day_holds_nothing_ahead():
+async def test_relay_restarted_under_traffic_holds_no_initial_tokens():
     """Hosts die in series. What each holds of every account before anybody has asked
     there would be lost at each death, to the end of the day."""
 
--- a/knapweedrail/tests/test_relay_successors.py
+++ b/knapweedrail/tests/test_relay_successors.py
@@ -49,7 +49,7 @@
     return attrs.evolve(configuration, endpoints=endpoints)
 
 
-async def call_twice(configuration, restarted):
+async def send_requests(configuration, restarted):
     """Return the status of a request sent after the first one met another runner."""
     runner = ScriptedRunner(restarted.respond)
     async with run_relay(configuration, runner) as relay:
@@ -61,35 +61,35 @@
         return with_next[-1].status, runner, relay
 
 
-async def test_a_runner_that_started_anew_gets_work_though_the_list_lags():
+async def test_restarted_runner_gets_requests_before_it_is_listed():
     """All relays are cut off from the store while two of five engines crash. They are
     back seconds later under new names at their old addresses, and nobody sends them
     anything until the cut ends: plans wait at the three that are left."""
-    status, runner, _ = await call_twice(make_engines(), RestartedRunner())
+    status, runner, _ = await send_requests(make_engines(), RestartedRunner())
     assert status == 200
     assert any(head.startswith("GET /report ") for head in runner.heads)
 
 
 @pytest.mark.parametrize("report", [b"", b"[]", b'{"kvTotal":0}', b'{"kvTotal":"x"}'])
-async def test_what_reports_no_engine_gets_no_work_of_one(report):
+async def test_runner_without_an_engine_report_gets_no_requests(report):
     """An engine has crashed for good, and its address went to a booking service. A
     plan sent there would be run by the wrong service."""
-    status, *_ = await call_twice(make_engines(), RestartedRunner(report))
+    status, *_ = await send_requests(make_engines(), RestartedRunner(report))
     assert status == 503
 
 
-async def test_a_refused_report_is_none():
+async def test_refused_report_is_ignored():
     """A plain service refuses the question, as it names no request."""
     restarted = RestartedRunner(report_status=400)
-    status, *_ = await call_twice(make_engines(), restarted)
+    status, *_ = await send_requests(make_engines(), restarted)
     assert status == 503
 
 
-async def test_with_two_endpoints_of_engines_nobody_is_asked():
+async def test_report_is_not_requested_with_two_engine_endpoints():
     """Both endpoints' runners would report an engine's memory. The address may have
     passed from one to the other, and only the list can tell."""
     configuration = make_engines(attrs.evolve(ENGINE, name="other"))
-    status, runner, _ = await call_twice(configuration, RestartedRunner())
+    status, runner, _ = await send_requests(configuration, RestartedRunner())
     assert status == 503
     assert not any(head.startswith("GET /report ") for head in runner.heads)
 
@@ -102,7 +102,7 @@
     return REPORT[:-1] + b',"born":%d}' % started
 
 
-async def meet_other_life(known_started, reported_started):
+async def report_other_incarnation(known_started, reported_started):
     """Return what became of ``i-9``, known elsewhere, when it answers for ``i-0``."""
     restarted = RestartedRunner(make_report(reported_started))
     runner = ScriptedRunner(restarted.respond)
@@ -117,25 +117,25 @@
         return relay.table.find_runner("i-9"), runner.address
 
 
-async def test_a_runner_that_moved_and_started_again_is_found_by_its_report():
+async def test_runner_restarted_at_another_address_is_found_by_its_report():
     """Two engines crash in a cut, and one of them starts again at the other's address,
     under its own name. It idles until the list can be read, as its name is known."""
-    found, address = await meet_other_life(OLD, NEW)
+    found, address = await report_other_incarnation(OLD, NEW)
     assert (found.started, found.address) == (NEW, address)
 
 
 @pytest.mark.parametrize("reported", [OLD, OLD - 1])
-async def test_a_report_of_no_later_life_changes_nothing(reported):
+async def test_report_of_an_earlier_incarnation_is_ignored(reported):
     """The report was on its way as the runner ended, and its next life is listed at
     another address already. Requests would go to where nobody listens."""
-    found, address = await meet_other_life(OLD, reported)
+    found, address = await report_other_incarnation(OLD, reported)
     assert (found.started, found.address) == (OLD, "127.0.0.1:1")
 
 
 @pytest.mark.parametrize("started", [b"null", b"true", b'"1"', b"-5", b"1e300"])
-async def test_a_report_whose_start_is_none_is_none(started):
+async def test_report_with_an_invalid_start_is_ignored(started):
     report = REPORT[:-1] + b',"born":' + started + b"}"
-    status, *_ = await call_twice(make_engines(), RestartedRunner(report))
+    status, *_ = await send_requests(make_engines(), RestartedRunner(report))
     assert status == 503
 
 
@@ -148,7 +148,7 @@
     return [view.runner.name for view in table.list_views("e", now)]
 
 
-def test_the_list_decides_once_it_can_be_read():
+def test_unlisted_successor_is_removed_after_a_list():
     """A runner was found in another's place and then crashed for good, all in one cut.
     The list has no entry of it; sending it requests any longer would cost each of them
     an attempt."""
@@ -161,7 +161,7 @@
     assert [runner.name for runner in table.prune(33.0)] == ["i-0", "i-9"]
 
 
-def test_a_successor_that_is_listed_stays():
+def test_listed_successor_stays():
     table = RunnerTable(doubt=1.9)
     make_presumed(table)
     table.note_list(31.0)
@@ -169,7 +169,7 @@
     assert list_names(table, 99.0) == ["i-9"]
 
 
-def test_a_successor_whose_end_is_told_is_gone():
+def test_ended_successor_is_removed():
     table = RunnerTable(doubt=1.9)
     make_presumed(table)
     table.remove_runner("i-9", 20.0)
@@ -177,24 +177,24 @@
     assert list_names(table, 30.0) == []
 
 
-async def test_a_runner_that_is_gone_does_not_use_up_the_only_attempt():
+async def test_identity_mismatch_does_not_use_up_the_only_attempt():
     """Route by route, a call may be sent to one runner. The one chosen has crashed and
     another life answers at its address. The call has reached nobody who would run it,
     and the next runner has room, but its caller was refused."""
     route = make_route(Repetition.ONCE, max_runners=1)
     restarted = ScriptedRunner(RestartedRunner().respond)
-    sound = ScriptedRunner(answer_well)
-    async with run_relay(make_configuration(route), restarted, sound) as relay:
+    healthy = ScriptedRunner(answer_well)
+    async with run_relay(make_configuration(route), restarted, healthy) as relay:
         answers = [
             await relay.call(knapweedrail_request_id=f"n{number}")
             for number in range(8)
         ]
     assert {answer.status for answer in answers} == {200}
     assert len(restarted.heads) > 0
-    assert len(sound.heads) == len(answers)
+    assert len(healthy.heads) == len(answers)
 
 
-async def test_a_runner_that_is_full_does_use_it_up():
+async def test_rejection_uses_up_the_only_attempt():
     """It got the call and turned it away; the operator allows one runner."""
 
     async def reject(stream, head):
@@ -209,7 +209,7 @@
     assert sum(len(runner.heads) for runner in runners) == 1
 
 
-def test_a_runner_that_lives_again_elsewhere_stays_as_its_address_is_taken():
+def test_late_mismatch_does_not_remove_a_restarted_runner():
     """A runner has started again at another address, and its former address went to
     another one. Word of that comes late, and must not end the life that is listed."""
     table = RunnerTable(doubt=1.9)
