--- a/knapweedrail/relay/accounts.py
+++ b/knapweedrail/relay/accounts.py
@@ -26,24 +26,25 @@
 from .openings import Moment, VestingSchedule
 
 FRESH_SECONDS = 1.5
-"""How old a view of the ledger may be to refuse by it without looking again."""
+"""Largest age of a view of the ledger by which a request may be refused without another
+read."""
 
 CONFIRM_SECONDS = 6.0
-"""How long looks that may be old, a tenth of a call each, do for that. Of an account
-that is given out, each keeper would else write what it has again and again, to find
-that nobody gave anything back."""
+"""Seconds for which peeks, which may be stale and cost a tenth of a call, may replace a
+confirmed read. Otherwise each primary relay of a fully granted account would rewrite
+its grant unchanged again and again, only to find that no tokens were returned."""
 
 
 @attrs.frozen
 class Plan:
-    """A change of an account's ledger.
+    """A planned change of an account's ledger.
 
     Attributes:
-        entry: The ledger as it should be.
-        change: By how much the own grant changes.
-        settled: What became of the grants of the host's earlier lives.
-        prepaid: Tokens that the account may use in all.
-        free: Tokens that nobody was granted before it.
+        ledger: The ledger after the change.
+        change: Change of this relay's own grant, tokens.
+        settled: Settled grants of the host's previous incarnations.
+        prepaid: Tokens that the account may use in total.
+        free: Tokens that weren't granted to any relay before the change.
     """
 
     ledger: AccountLedger
@@ -54,10 +55,11 @@
 
 
 def estimate_others_rate(ledger: AccountLedger, excluding: str) -> float:
-    """Return the tokens a second that the callers of all holders but one ask for.
+    """Returns the demand rate at all holders but one, tokens per second.
 
-    A grant opens as fast as its callers may ask, or as a whole in some seconds while
-    its holder doesn't know them; such a rate says nothing of them.
+    A grant vests at a multiple of its demand rate. If the demand isn't known, it vests
+    completely within some seconds instead; such a rate says nothing about demand and is
+    left out.
     """
     rates = [
         grant.vesting.rate
@@ -71,25 +73,28 @@
 
 @attrs.define
 class AccountHolding:
-    """One account, as this relay holds it.
+    """One account as this relay holds it.
 
     Attributes:
-        entry: Its ledger as last seen.
-        revision: Of the stored object; ``None`` before it was seen.
-        seen_at: When it was last seen, seconds.
-        looked_at: When it was last looked at, by an answer that may be old; seconds.
-        checked_at: When it was last seen for certain, seconds.
-        unreadable_at: When what the store has of it was last found unreadable; it was
-            readable again since if that is before it was seen.
-        refreshing: Whether a change of the ledger is under way.
-        borrowing: Whether other relays are being asked.
-        drawing: Requests for which the ledger is asked, though another relay keeps
-            the account.
-        doubtful: Hosts whose answer to a trade was lost; they may have lent.
-        given_out: Tokens that it had given out when its grant was last written.
-        fresh: Whether nothing of the account was used when its ledger was first seen.
-        reminded: When hosts were last reminded of what their earlier lives hold, by
-            holder; seconds.
+        ledger: Its ledger as last seen.
+        revision: Revision of the stored object; ``None`` before it was first seen.
+        seen_at: Time at which that view was current, seconds.
+        peeked_at: Time of the last peek, whose answer may be stale; seconds.
+        confirmed_at: Time of the last write attempt that showed the current ledger,
+            seconds.
+        unreadable_at: Time at which the stored ledger was last found unreadable,
+            seconds. If it is before `seen_at`, the ledger has been readable since.
+        refreshing: Whether an update of the ledger is in progress.
+        borrowing: Whether a request to other relays is in progress.
+        pending_draws: Number of requests that wait for a draw on the ledger, including
+            those at a relay that isn't primary for the account.
+        unconfirmed_hosts: Hosts that haven't answered the last trade; they may have
+            lent tokens.
+        disbursed_at_write: Tokens disbursed when the grant was last written.
+        unused_at_first_read: Whether no tokens of the account were used when its ledger
+            was first read.
+        prompted_at: When hosts were last prompted to settle a previous incarnation,
+            seconds, by holder.
     """
 
     name: str
@@ -114,22 +119,22 @@
         return self.allowance.holder
 
     def is_unreadable(self, now: float, max_age: float) -> bool:
-        """Return whether its ledger couldn't be read when it was last looked at.
+        """Returns whether the ledger was unreadable at the last read.
 
         Args:
-            recent: Age up to which that look will do, seconds.
+            max_age: Age up to which that read counts, seconds.
         """
         return self.unreadable_at > self.seen_at and now - self.unreadable_at < max_age
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether a sure look would hardly bring more than is known."""
+        """Returns whether a confirmed read would hardly show anything new."""
         if now - self.seen_at < FRESH_SECONDS:
             return True
-        looked = now - self.peeked_at < FRESH_SECONDS
-        return looked and now - self.confirmed_at < CONFIRM_SECONDS
+        recently_peeked = now - self.peeked_at < FRESH_SECONDS
+        return recently_peeked and now - self.confirmed_at < CONFIRM_SECONDS
 
     def apply_ledger(self, ledger: AccountLedger, revision: int, now: float) -> None:
-        """Take over the ledger as it is stored."""
+        """Replaces the view by the ledger as it is stored."""
         if self.revision is None:
             self.unused_at_first_read = not ledger.confirmed_used
         self.ledger = ledger
@@ -150,21 +155,22 @@
         moment: Moment | None = None,
         started: Moment | None = None,
     ) -> Plan | None:
-        """Return the ledger as it should be, or ``None`` if it will do as it is.
+        """Returns the ledger as it should be, or ``None`` if no change is due.
 
-        While requests wait for tokens, a view that isn't recent is written again
-        unchanged: the condition fails if others gave tokens back, and brings what is
-        there.
+        While requests wait for tokens, a view that isn't fresh is written again
+        unchanged: the condition of the write fails if other relays returned tokens, and
+        the reply carries the current ledger.
 
         Args:
-            keepers: Number of relays that keep an account.
-            keeps: Whether this one does.
-            starting: Whether it has seen too little traffic to know the demand. In the
-                middle of a day it holds nothing ahead for that: others do, and what a
-                host holds that dies again soon would be lost for nobody.
-            moment: The present one on this host's clock; without it grants are open as
-                a whole.
-            started: That at which this relay's life began.
+            primaries: Number of primary relays of an account.
+            is_primary: Whether this relay is one of them.
+            warming_up: Whether this relay has had too little traffic to know its
+                demand. If the account was in use before this relay started, it holds
+                nothing in advance for that: other relays do, and the tokens would be
+                lost for nothing if the host crashes again soon.
+            moment: Current reading of this host's clock; without it, grants are written
+                without a vesting schedule.
+            started: Reading at the start of this relay.
         """
         prepaid = account.prepaid or 0
         known = self.holder in self.ledger.grants
@@ -212,11 +218,12 @@
     def _needs_new_schedule(
         self, budget: BudgetView, terms: VestingTerms, moment: Moment | None
     ) -> bool:
-        """Return whether its grant should open anew.
+        """Returns whether the grant needs a new vesting schedule.
 
-        Wider, as requests wait; or narrower, as much of it would be lost with this
-        relay; or from another moment, as the time of day was set and the one that the
-        ledger has would be taken for one of another boot.
+        It does in three cases. Requests wait while tokens of the grant haven't vested.
+        Or so many vested tokens are unused that a crash of this relay would lose too
+        much. Or the time of day was set, so that the start of the boot in the ledger
+        would be taken for that of another boot.
         """
         allowance = self.allowance
         if not allowance.schedules or moment is None:
--- a/knapweedrail/relay/allowances.py
+++ b/knapweedrail/relay/allowances.py
@@ -1,12 +1,13 @@
-"""What one relay holds of one account, with what it lent to and had from others.
+"""Tokens of one account at one relay, including its loans to and from other relays.
 
 Pure. Every token is at one holder: granted to it by the ledger, or lent to it by
-another one. A lender takes what it lends out of use before it says so, a borrower what
-it gives back; both count in totals that only rise. So messages between them that are
-lost, repeated or overtaken can strand tokens for a while, and never double them.
+another holder. A lender takes tokens out of use before it announces the loan, and a
+borrower before it announces the return. Both are reported as totals that never
+decrease. So lost, repeated or reordered messages between relays can strand tokens for a
+while, but never duplicate them.
 
-Of its grant, a holder uses no more than has opened by now, so that whoever settles it
-after the holder's death knows a bound.
+A holder uses no more of its grant than has vested. This gives a bound to the relay that
+settles the grant after the holder's crash.
 """
 
 from __future__ import annotations
@@ -22,15 +23,15 @@
 
 @attrs.define
 class Loan:
-    """What passed between a lender and a borrower, in tokens.
+    """Tokens that passed between a lender and a borrower.
 
     Attributes:
-        total: Lent in all.
-        returned: Given back in all. More than was lent where a borrower's own lender
-            was gone, and it gave back to this one.
-        spent: Spent of it, as far as known.
-        acknowledged: Part of `returned` that the lender surely knows of.
-        reported: Part of `spent` that the lender surely knows of.
+        total: Tokens lent in total.
+        returned: Tokens returned in total. Exceeds `total` if the borrower's own lender
+            was gone and it returned tokens to this one instead.
+        spent: Tokens spent of the loan, as far as known.
+        acknowledged: Part of `returned` that the lender is known to have received.
+        reported: Part of `spent` that the lender is known to have received.
     """
 
     total: int = 0
@@ -41,29 +42,29 @@
 
     @property
     def outstanding(self) -> int:
-        """Tokens of the lender's that the borrower has at hand."""
+        """Tokens of the lender that the borrower still has available."""
         return self.total - self.returned - self.spent
 
     def acknowledge(self, returned: int, spent: int) -> None:
-        """Take in that the lender has heard of these totals."""
+        """Records that the lender has received these totals."""
         self.acknowledged = max(self.acknowledged, returned)
         self.reported = max(self.reported, spent)
 
 
 @attrs.define
 class Allowance:
-    """Tokens in the hands of one holder.
+    """Tokens of one account at one holder.
 
     Attributes:
         tokens: Its grant in the ledger as last seen.
-        withheld: Tokens that an unconfirmed write gives back.
-        spent: Spent and settled.
-        reserved: Set aside for requests under way.
+        withheld: Tokens that an unconfirmed write returns.
+        spent: Tokens spent and settled.
+        reserved: Tokens reserved for running requests.
         borrowed: Loans from other holders, by lender.
         lent: Loans to other holders, by borrower.
         read_clock: Returns the milliseconds since the host's boot.
-        openings: Of its grant: that of the ledger as last seen, and those of writes
-            that may have taken effect since. All of them bind.
+        schedules: Vesting schedules of its grant: the one in the ledger as last seen,
+            and those of later writes that may have taken effect. All of them apply.
     """
 
     holder: str
@@ -80,34 +81,35 @@
 
     @property
     def granted(self) -> int:
-        """Tokens it had in all, without those that are with others now."""
+        """Tokens it received in total, without those now at other holders."""
         borrowed = sum(loan.total - loan.returned for loan in self.borrowed.values())
         lent = sum(loan.total - loan.returned for loan in self.lent.values())
         return self.tokens - self.withheld + borrowed - lent
 
     @property
     def position(self) -> Balance:
-        """The present figures."""
+        """The current balance."""
         return Balance(granted=self.granted, spent=self.spent, reserved=self.reserved)
 
     @property
     def free(self) -> int:
-        """Tokens that nobody uses, open to it or not."""
+        """Unused tokens, vested or not."""
         return self.position.available
 
     @property
     def used(self) -> int:
-        """Net use of its grant: spent, set aside and lent, less what it borrowed."""
+        """Net use of its grant: tokens spent, reserved and lent, less those
+        borrowed."""
         return self.tokens - self.withheld - self.free
 
     @property
     def disbursed(self) -> int:
-        """Tokens spent, or lent to others, in all; it only rises."""
+        """Tokens spent or lent in total; never decreases."""
         return self.spent + sum(loan.total for loan in self.lent.values())
 
     @property
     def available(self) -> int:
-        """Tokens that a new request may take now."""
+        """Tokens that a new request may reserve now."""
         if not self.schedules:
             return self.free
         now = self.read_clock()
@@ -115,27 +117,28 @@
         return min(self.free, vested - self.used)
 
     def reserve(self, tokens: int) -> bool:
-        """Set tokens aside, if there are enough."""
+        """Reserves tokens if enough are available; returns whether it did."""
         if self.available < tokens:
             return False
         self.reserved += tokens
         return True
 
     def settle(self, tokens: int, used: int) -> None:
-        """End a reservation: count what was used and free the rest."""
+        """Ends a reservation: counts the tokens used and frees the rest."""
         used = min(used, tokens)
         self.reserved -= tokens
         self.spent += used
         self._attribute_spending(used)
 
     def lend(self, borrower: str, tokens: int) -> int:
-        """Hand tokens over; return what was lent to that holder in all."""
+        """Lends tokens; returns the total lent to that borrower."""
         loan = self.lent.setdefault(borrower, Loan())
         loan.total += tokens
         return loan.total
 
     def accept_return(self, borrower: str, returned: int, spent: int) -> int:
-        """Take in what a borrower says in totals; return what came back just now."""
+        """Applies a borrower's totals; returns the tokens returned since the last
+        ones."""
         loan = self.lent.setdefault(borrower, Loan())
         received = max(0, returned - loan.returned)
         loan.returned += received
@@ -143,42 +146,44 @@
         return received
 
     def borrow(self, lender: str, total: int) -> None:
-        """Take in what another holder has lent in all."""
+        """Applies the total that another holder has lent."""
         loan = self.borrowed.setdefault(lender, Loan())
         loan.total = max(loan.total, total)
 
     def give_back(self, lender: str, tokens: int) -> None:
-        """Put tokens out of use that are given to another holder."""
+        """Takes tokens out of use that are returned to another holder."""
         self.borrowed.setdefault(lender, Loan()).returned += tokens
 
     def apply_ledger(self, ledger: AccountLedger) -> None:
-        """Take over what the ledger says; no write of ours is uncertain any more."""
+        """Applies the ledger as it is stored, when none of this relay's writes is
+        unconfirmed any more."""
         grant = ledger.grants.get(self.holder, Grant(0, 0))
         self.withheld = 0
         self.tokens = grant.tokens
         self.schedules = [grant.vesting] if grant.vesting else []
 
     def record_spent(self, ledger: AccountLedger) -> Grant:
-        """Enter what was spent, and return the entry."""
+        """Enters the tokens spent in the ledger and returns the grant."""
         known = ledger.grants.get(self.holder, Grant(0, 0))
         spent = max(known.spent, self._count_own_spent())
         ledger.grants[self.holder] = attrs.evolve(known, spent=spent)
         return ledger.grants[self.holder]
 
     def prepare_write(self, planned: AccountLedger) -> None:
-        """Put out of use what a write that is about to be sent gives back, or doesn't
-        open any more."""
+        """Takes tokens out of use that the write about to be sent returns, or that its
+        vesting schedule no longer includes."""
         grant = planned.grants.get(self.holder, Grant(0, 0))
         self.withheld = max(self.withheld, self.tokens - grant.tokens)
         if grant.vesting is not None and grant.vesting not in self.schedules:
             self.schedules.append(grant.vesting)
 
     def _attribute_spending(self, used: int) -> None:
-        """Say whose tokens were spent, so that each is reported to the ledger once.
+        """Attributes spent tokens to their origin, so that each is reported to the
+        ledger once.
 
-        First come those that were written off with their holder before they got here,
-        which the ledger counts as used already; then loans, which their lenders
-        report; the rest is of the own grant.
+        Tokens that were written off with their holder before they were returned here
+        come first; the ledger already counts them as used. Then come loans, which their
+        lenders report. The rest is spent from this holder's own grant.
         """
         written_off = sum(
             max(0, loan.returned - loan.total) for loan in self.lent.values()
@@ -192,7 +197,8 @@
             used -= part
 
     def _count_own_spent(self) -> int:
-        """Return what was surely spent of the own grant, by others too."""
+        """Returns the tokens known to be spent of this holder's own grant, including
+        loans to others."""
         elsewhere = sum(loan.spent for loan in self.borrowed.values())
         by_others = sum(loan.spent for loan in self.lent.values())
         return self.spent - self._written_off_spent - elsewhere + by_others
--- a/knapweedrail/relay/clocks.py
+++ b/knapweedrail/relay/clocks.py
@@ -1,6 +1,6 @@
-"""When whoever runs the process asked it to stop.
+"""Recording of when the process was asked to stop.
 
-Imports nothing that takes long to read: it is used before callers can connect.
+Imports no module that loads slowly, as it is used before callers can connect.
 """
 
 from __future__ import annotations
@@ -11,31 +11,32 @@
 
 
 class SignalClock:
-    """Notes when the process was first told to stop.
+    """Records when the process received its first stop signal.
 
-    What goes wrong without it: the event loop hands a signal on when it comes to it.
-    With much to do that is some tenths of a second late, and the time until the process
-    is killed runs from the signal. The interpreter calls a handler of its own between
-    two steps of whatever it runs.
+    The event loop delivers a signal only when it gets to it, which takes some tenths of
+    a second under load, while the time until the process is killed counts from the
+    signal. The interpreter calls a signal handler of its own between two bytecode
+    instructions.
     """
 
     def __init__(self) -> None:
         self._first_at: float | None = None
 
     def watch(self, numbers: Iterable[int]) -> None:
-        """Note these signals; the event loop, which has handlers for them, goes on
-        being woken."""
+        """Installs handlers for these signals. The event loop's own handlers are still
+        woken."""
         for number in numbers:
             signal.signal(number, self._note)
             signal.siginterrupt(number, False)
 
     @property
     def asked(self) -> bool:
-        """Whether a signal has come."""
+        """Whether a signal was received."""
         return self._first_at is not None
 
     def read(self) -> float:
-        """Return when the first signal came; now, if none has."""
+        """Returns when the first signal was received, or the current time if none was;
+        monotonic clock, seconds."""
         return time.monotonic() if self._first_at is None else self._first_at
 
     def _note(self, number: int, frame: object) -> None:
--- a/knapweedrail/relay/draws.py
+++ b/knapweedrail/relay/draws.py
@@ -1,4 +1,4 @@
-"""Changes of accounts' ledgers, by conditional updates of the store's objects."""
+"""Updates of account ledgers by conditional writes of the store's objects."""
 
 from __future__ import annotations
 
@@ -32,43 +32,46 @@
 LEDGER_KIND = "token-ledgers"
 
 OUTAGE_RETRY_SECONDS = 0.5
-"""Pause between tries while the store is away. What is held runs out then, and callers
-are refused until the first try that gets through; a call that is lost costs nobody but
+"""Pause between attempts while the store is unavailable. Tokens run out in that time,
+and requests are refused until the first successful attempt. A lost call burdens only
 the store, which all relays call."""
 
 MAX_LOST_REPLIES = 4
-"""Answers lost in a row from which on the store counts as away. With a third of all
-answers lost, that many in a row come once in eighty times; a store that resets every
-connection was called eight times for each request that found too few tokens."""
+"""Number of consecutive lost replies from which on the store counts as unavailable.
+With a third of all replies lost, that happens once in eighty times. Without such a
+limit, a store that reset every connection was called eight times for each request that
+found too few tokens."""
 
 MAX_WRITE_ATTEMPTS = 8
-"""Attempts of one update. One relay of each data centre writes an account about once in
-some seconds, so two meet rarely, and eight times in a row never unless the store
-misbehaves."""
+"""Attempts of one update. One relay per data centre writes an account's ledger, each
+about once in some seconds. Conflicts are rare, and eight in a row occur only if the
+store misbehaves."""
 
 MAX_CONFLICT_BACKOFF_SECONDS = 0.02
-"""Longest pause after a conflict, drawn at random; some answers of the store."""
+"""Upper bound of the random pause after a conflict; a few replies of the store."""
 
 MAX_DRAW_ATTEMPTS = 3
-"""Looks at the ledger for one request. The first may join a change that was planned
-before the request came, and the second is beaten by others' writes at the worst."""
+"""Attempts to draw on the ledger for one request. The first may join an update that was
+planned before the request arrived, and the second may at worst lose to other relays'
+writes."""
 
 PEEK_AGE_SECONDS = 0.5
-"""Age of a view of the ledger from which on it is looked at before it is written. The
-relays of three or four data centres write an account, so one that wrote last seconds
-ago often meets another's write, at two calls instead of one and a tenth."""
+"""Age of the view from which on the ledger is peeked at before it is written. The
+primary relays of three or four data centres write an account's ledger, so one that
+wrote seconds ago often meets another relay's write. Without the peek that costs two
+calls instead of 1.1."""
 
 
 class LedgerUpdater:
-    """Draws on ledgers, and gives back to them.
+    """Draws tokens on account ledgers, and returns tokens to them.
 
     Args:
         store: The platform's store.
-        membership: Which relays there are.
+        membership: The relays that take part.
         read_configuration: Returns the configuration in force, if one is known.
-        changed: Given whenever what is held may have changed.
-        clock: By which grants open.
-        malformed: Told of ledgers that can't be read.
+        changed: Notified whenever balances may have changed.
+        clock: Clock by which grants vest.
+        malformed: Records ledgers that can't be decoded.
     """
 
     def __init__(
@@ -96,26 +99,26 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether the ledger may be called: no call has failed just now."""
+        """Whether the ledger may be called: no call has just failed."""
         return time.monotonic() >= self._unavailable_until
 
     def start(self, group: anyio.abc.TaskGroup) -> None:
-        """Make changes in ``group`` from now on."""
+        """Starts to run updates in ``group``."""
         self._group = group
         self._running.set()
 
     def close(self) -> None:
-        """Begin no more changes."""
+        """Starts no more updates."""
         self._group = None
 
     def list_prepaid_accounts(self) -> list[Account]:
-        """Return the accounts that have a budget."""
+        """Returns the accounts that have a budget."""
         configuration = self._read_configuration()
         accounts = (configuration.accounts if configuration else None) or {}
         return [one for one in accounts.values() if one.prepaid is not None]
 
     def find_account(self, name: str) -> Account | None:
-        """Return an account of the configuration in force."""
+        """Returns an account of the configuration in force, or ``None``."""
         configuration = self._read_configuration()
         accounts = (configuration.accounts if configuration else None) or {}
         return accounts.get(name)
@@ -123,7 +126,7 @@
     async def draw(
         self, holding: AccountHolding, account: Account, tokens: int
     ) -> Shortage | None:
-        """Have the ledger asked for tokens; return why it has none."""
+        """Draws tokens on the ledger; returns why there are too few, or ``None``."""
         await self._running.wait()
         holding.pending_draws += 1
         try:
@@ -146,22 +149,22 @@
         return Shortage.HELD_ELSEWHERE
 
     def schedule_refresh(self, holding: AccountHolding) -> None:
-        """Begin to bring an account's grant to what it should be."""
+        """Starts an update of an account's grant unless one is in progress."""
         if not holding.refreshing and self._group is not None:
             holding.refreshing = True
             if self.store_unavailable:
-                # One caller waits to see whether the store is back, and no others.
+                # Only one request waits to see whether the store is available again.
                 self._unavailable_until = time.monotonic() + OUTAGE_RETRY_SECONDS
             self._group.start_soon(self._refresh, holding)
 
     async def write(self, holding: AccountHolding, planned: AccountLedger) -> bool:
-        """Write a ledger if it hasn't changed; return whether that took effect.
+        """Writes a ledger if it hasn't changed; returns whether the write took effect.
 
-        Tokens that the write gives back are out of use before it is sent, and those
-        that it takes come into use only once it is known to have taken effect. So
-        when its answer is lost, it doesn't matter whether it did, or will. The next
-        write has the same condition: it takes effect, and the lost one can't any
-        more, or it fails and brings the ledger as it is.
+        Tokens that the write returns are taken out of use before it is sent, and tokens
+        that it draws come into use only after it is confirmed. So if its reply is lost,
+        it doesn't matter whether the write has taken effect or still will. The next
+        write has the same condition: either it takes effect and the lost one no longer
+        can, or it fails and its reply carries the current ledger.
         """
         began_at = time.monotonic()
         holding.allowance.prepare_write(planned)
@@ -186,7 +189,7 @@
         return False
 
     def plan(self, holding: AccountHolding) -> Plan | None:
-        """Return the change of an account's ledger that is due, if there is one."""
+        """Returns the change of an account's ledger that is due, or ``None``."""
         account = self.find_account(holding.name)
         if account is None or account.prepaid is None:
             return None
@@ -201,7 +204,7 @@
         )
 
     async def _refresh(self, holding: AccountHolding) -> None:
-        """Bring an account's grant to what it should be."""
+        """Updates an account's grant as planned."""
         try:
             if not await self._peek(holding):
                 return
@@ -221,14 +224,14 @@
             self._changed.give()
 
     async def _peek(self, holding: AccountHolding) -> bool:
-        """Look at an account's ledger if it is likely to have changed.
+        """Peeks at an account's ledger if it is likely to have changed.
 
-        Only a newer revision is taken in. At the known one a write of ours whose answer
-        was lost may still take effect, so what it gives back stays out of use; past it,
-        that write has taken effect or never will.
+        Only a newer revision is applied. At the known revision, a write of this relay
+        whose reply was lost may still take effect, so the tokens that it returns stay
+        out of use. Past that revision, the write has taken effect or never will.
 
         Returns:
-            Whether the store answered, or wasn't asked.
+            Whether the store replied or no peek was needed.
         """
         last_at = max(holding.seen_at, holding.peeked_at)
         if self.store_unavailable or time.monotonic() - last_at < PEEK_AGE_SECONDS:
@@ -242,7 +245,7 @@
         holding.peeked_at = now
         if isinstance(found, StoredObject) and found.revision > (holding.revision or 0):
             self._apply_stored(holding, found)
-            # It may be seconds old.
+            # The peeked ledger may be seconds old.
             holding.seen_at = now - FRESH_SECONDS
         return True
 
@@ -261,10 +264,11 @@
         )
 
     def _is_unreadable(self, holding: AccountHolding) -> bool:
-        """Return whether an account's ledger can't be read, as if it were out of reach.
+        """Returns whether an account's ledger can't be read, which counts as out of
+        reach.
 
-        Nothing is granted by it then: no write takes effect at a revision that wasn't
-        read. Tried again for each request, it would cost eight calls for nothing.
+        Nothing can be granted from it: no write takes effect at a revision that wasn't
+        read. An attempt for each request would cost eight calls in vain.
         """
         return holding.is_unreadable(time.monotonic(), FRESH_SECONDS)
 
@@ -316,11 +320,11 @@
         holding.apply_ledger(ledger, stored.revision, time.monotonic())
 
     def _record_outcome(self, outcome: WriteOutcome, seconds: float) -> None:
-        """Take in whether the store answers.
+        """Records whether the store replied.
 
-        A write whose answer is lost at once is tried again at once. A store that says
-        nothing for long, or resets one connection after the other, isn't there for
-        callers, who needn't wait for it.
+        A write whose reply is lost at once is retried at once. If the store doesn't
+        respond for long, or resets one connection after the other, it counts as
+        unavailable and callers don't wait for it.
         """
         reached = isinstance(outcome, (Written, Conflict, Missing))
         self._lost_replies = 0 if reached else self._lost_replies + 1
--- a/knapweedrail/relay/grants.py
+++ b/knapweedrail/relay/grants.py
@@ -1,4 +1,4 @@
-"""Decision: how many prepaid tokens a relay holds ahead of need.
+"""Planning of how many prepaid tokens a relay holds in advance.
 
 Pure: the clock is passed in.
 """
@@ -10,102 +10,114 @@
 import attrs
 
 TARGET_SECONDS = 20.0
-"""How long relays that can't reach the store serve out of what they hold, while much is
-left: twice as long as most cuts, as demand may double while one lasts."""
+"""Seconds of demand that relays hold in advance, to keep serving while they can't reach
+the store. Applies while much of the budget is left. It is twice the length of most
+outages, as demand may double during one."""
 
 MAX_HELD_SHARE = 0.5
-"""Largest part of what is left of a budget that all keepers together may hold. What is
-held is lost when its relay dies. Each keeper may have an even share, and beyond it what
-the others leave: callers of an account may all come to one data centre while nobody
-asks the others for tokens."""
+"""Largest share of the remaining budget that all primary relays together may hold.
+Tokens held by a relay are lost when it crashes. Each primary may hold an even share,
+plus whatever the others leave unused: all callers of an account may come to one data
+centre, with no demand in the others."""
 
 AMPLE_SECONDS = 35.0
-"""How long the rest of a budget must last for relays to hold that part of it. What
-callers are refused in a cut they can have after it, as long as the budget isn't used up
-by then; what is lost with a relay, never. So the sooner a budget will be used up, the
-less there is to gain by holding it, and the more to lose."""
+"""Seconds for which the remaining budget must last for relays to hold that full share.
+Requests refused in an outage can be repeated after it as long as the budget isn't used
+up by then, but tokens lost with a relay never come back. So the sooner a budget runs
+out, the less there is to gain from holding it, and the more to lose."""
 
 SCARCITY_EXPONENT = 3
-"""Power with which the part falls below that: of a budget that lasts half as long, an
-eighth of it may be held."""
+"""Exponent by which the share falls below that. Of a budget that lasts half as long, an
+eighth of the full share may be held."""
 
 MIN_TARGET_SECONDS = 0.8
-"""How long a keeper serves out of what it holds, however soon the budget is used up.
-With less, every request would cost a write."""
+"""Seconds of demand that a primary relay holds even if the budget runs out soon. With
+less, every request would cost a write."""
 
 MARGIN_REQUESTS = 2.0
-"""Largest requests that all keepers together hold beyond that, as demand comes by
-chance. Relays lend tokens to each other, so one margin serves all of them; a margin at
-each would be lost with each when all lose power."""
+"""Number of largest requests that all primary relays together hold on top, since
+requests arrive at random. Relays lend tokens to each other, so one margin serves them
+all. A margin at each relay would be lost at each of them in a power loss of all
+hosts."""
 
 WARM_UP_SHARE = 0.08
-"""Part of what was prepaid that all keepers together hold before they know the demand:
-enough for the first seconds of traffic, which may begin with a cut."""
+"""Share of the prepaid tokens that all primary relays together hold before the demand
+is known. It covers the first seconds of traffic, which may begin with an outage."""
 
 WARM_UP_SECONDS = 8.0
-"""How long after its first request a relay holds that: until its demand is known."""
+"""Seconds after its first request during which a relay holds that share, until its
+demand is known."""
 
 REFILL_THRESHOLD = 0.65
-"""Part of the target below which a refill is asked for. Refilling at every request
-would cost a write each time; with less, a cut that begins just before a refill finds
-the relay with too little to last through it."""
+"""Fraction of the target below which a relay refills. Refilling at every request would
+cost a write each time. With a lower threshold, an outage that begins just before a
+refill finds the relay with too few tokens to last through it."""
 
 RETURN_THRESHOLD = 1.4
-"""How many times the target must be held before tokens go back. Demand comes in
-bursts, and without it each relay keeps what its highest one called for."""
+"""Multiple of the target above which a relay returns tokens. Demand comes in bursts,
+and without returns each relay would keep what its highest burst required."""
 
 MIN_RETURN_SHARE = 0.002
-"""Part of what was prepaid that must be too much at least: less isn't worth a write."""
+"""Smallest excess to return, as a share of the prepaid tokens. Less isn't worth a
+write."""
 
 BORROW_AHEAD_SECONDS = 3.0
-"""How long a relay serves out of what it borrows: about as long as its lender is away
-when it is restarted. More would lie idle at relays that see few requests: with eighty
-of them and a largest request at each, a small account has nothing left to lend."""
+"""Seconds of demand that a relay borrows in advance, about as long as its lender is
+down for a restart. More would lie idle at relays with few requests: with eighty of them
+and a largest request at each, a small account has nothing left to lend."""
 
 MIN_RATE_REQUESTS = 3.0
-"""Largest requests that must have come within the memory of the demand before a relay
-borrows ahead. With one request in that time a rate says nothing."""
+"""Number of largest requests within the demand window from which on the demand rate is
+reliable enough to borrow in advance. A rate estimated from a single request means
+nothing."""
 
 IDLE_SECONDS = 1.0
-"""Time without a request of an account after which all that was borrowed goes back."""
+"""Seconds without a request of an account after which everything borrowed is
+returned."""
 
 MIN_RETURN_TOKENS = 64
-"""Tokens that are worth a message to give back: some events of a stream."""
+"""Fewest tokens that are worth a message to return them; about the tokens of a few
+stream events."""
 
 VESTING_FACTOR = 2.0
-"""How many times as fast as callers ask for tokens a grant opens. In a cut nothing can
-open it faster, and demand may double while one lasts; what opens and isn't used is lost
-when the relay dies."""
+"""Rate at which a grant vests, as a multiple of the demand rate. Nothing can raise it
+during an outage, when demand may double. Tokens that are vested and unused are lost
+when the relay crashes."""
 
 MAX_VESTING_SECONDS = 12.0
-"""How long a grant takes to open at the most while its demand isn't known. An account
-that is seldom asked for has few requests, and they are large beside its demand."""
+"""Longest time in which a grant vests completely while its demand isn't known. An
+account with little demand has few requests, and they are large compared with its demand
+rate."""
 
 BURST_SECONDS = 1.0
-"""Seconds of demand that are open at once, beside the margin of large requests that the
-keepers have together. Requests come by chance, and each one that finds too little open
-costs a write and a wait, or a loan while the store is away."""
+"""Seconds of demand that vest at once, on top of the margin that the primary relays
+share. Requests arrive at random, and each one that finds too few vested tokens costs a
+write and a wait, or a loan while the store is unavailable."""
 
 MAX_EXCESS_SHARE = 0.01
-"""Part of what was prepaid by which more than that may be open to one keeper before it
-writes its grant anew. What is open and not used is lost when its relay dies."""
+"""Excess of vested tokens above which a primary relay writes a new vesting schedule, as
+a share of the prepaid tokens. Tokens that are vested and unused are lost when the relay
+crashes."""
 
 MIN_DISBURSED_SHARE = 0.5
-"""Part of that which must have been given out since: a budget costs so many writes at
-the most, however long it lasts, and one that nobody asks for costs none."""
+"""Fraction of that excess that must also have been disbursed since the last write. This
+bounds the writes per budget, however long it lasts, and an account without demand costs
+none."""
 
 DEMAND_WINDOW_SECONDS = 8.0
-"""Time over which demand is averaged: as long as what is held has to last. Shorter, it
-follows single large requests up and down, at a write each time."""
+"""Time constant of the demand average, seconds. It is as long as the tokens held have
+to last. A shorter one follows single large requests up and down, at a write each
+time."""
 
 
 @attrs.define
 class Demand:
-    """What callers ask of one account at this relay: tokens, at most.
+    """Demand for one account at this relay, in the most tokens that each request may
+    use.
 
     Attributes:
-        largest: The largest request lately, tokens.
-        unmet: Tokens that requests wait for now.
+        largest: The largest recent request, tokens.
+        unmet: Tokens that waiting requests need now.
     """
 
     largest: float = 0.0
@@ -115,7 +127,7 @@
     _last: float = 0.0
 
     def record_request(self, tokens: int, now: float) -> None:
-        """Count a request by the tokens that it may use."""
+        """Counts a request by the tokens that it may use."""
         if self._first is None:
             self._first = self._last = now
         decay = math.exp((self._last - now) / DEMAND_WINDOW_SECONDS)
@@ -124,22 +136,23 @@
         self._last = now
 
     def record_return(self, tokens: int, now: float) -> None:
-        """Count off what was asked for and came back unspent."""
+        """Subtracts tokens that were requested and came back unspent."""
         decay = math.exp((self._last - now) / DEMAND_WINDOW_SECONDS)
-        # Of a demand that was long ago, or never, nothing is left to count off.
+        # With no demand, or with demand that has decayed to nothing, there is nothing
+        # to subtract from.
         self._sum = max(0.0, self._sum - tokens / decay) if decay else 0.0
 
     def is_idle(self, now: float) -> bool:
-        """Return whether nobody has asked for tokens lately, nor waits for any."""
+        """Returns whether there was no recent request and none is waiting."""
         return not self.unmet and now - self._last >= IDLE_SECONDS
 
     def has_reliable_rate(self, now: float) -> bool:
-        """Return whether there were enough requests lately for a rate to mean much."""
+        """Returns whether there were enough recent requests for a reliable rate."""
         decayed = self._sum * math.exp((self._last - now) / DEMAND_WINDOW_SECONDS)
         return decayed >= MIN_RATE_REQUESTS * max(1.0, self.largest)
 
     def estimate_rate(self, now: float) -> float:
-        """Return the tokens asked for in a second."""
+        """Returns the demand rate, tokens per second."""
         if self._first is None:
             return 0.0
         decayed = self._sum * math.exp((self._last - now) / DEMAND_WINDOW_SECONDS)
@@ -151,11 +164,11 @@
 
 @attrs.frozen
 class VestingTerms:
-    """How a grant opens.
+    """Terms of a new vesting schedule.
 
     Attributes:
-        burst: Tokens beyond those in use that are open at once.
-        rate: More with each second.
+        burst: Tokens beyond those in use that vest at once.
+        rate: Tokens that vest per second after that.
     """
 
     burst: int
@@ -164,16 +177,16 @@
 
 @attrs.frozen(kw_only=True)
 class BudgetView:
-    """What the ledger says of one account, and who shares it.
+    """What the ledger says about one account, and who shares it.
 
     Attributes:
-        prepaid: Tokens in all.
-        free: Tokens that nobody was granted.
-        held: Tokens that other relays were granted and haven't reported as spent.
-        others_rate: Tokens that other relays' callers ask for in a second, as far as
-            the ledger tells.
-        keepers: Number of relays that draw on the ledger for others.
-        starting: Whether this relay has seen too little traffic to know its demand.
+        prepaid: Tokens of the account in total.
+        free: Tokens that aren't granted to any relay.
+        held: Tokens granted to other relays and not reported as spent.
+        others_rate: Demand rate at other relays, tokens per second, as far as the
+            ledger shows it.
+        primaries: Number of primary relays of an account, one per data centre.
+        warming_up: Whether this relay has had too little traffic to know its demand.
     """
 
     prepaid: int
@@ -186,12 +199,12 @@
 
 @attrs.frozen(kw_only=True)
 class Balance:
-    """What a relay has of one account.
+    """Tokens of one account at one relay.
 
     Attributes:
-        granted: Granted to it in all.
-        spent: Spent and settled.
-        reserved: Set aside for requests under way, at their most.
+        granted: Tokens granted to it in total.
+        spent: Tokens spent and settled.
+        reserved: Tokens reserved for running requests, at their maximum.
     """
 
     granted: int
@@ -200,20 +213,20 @@
 
     @property
     def available(self) -> int:
-        """Tokens that a new request may take."""
+        """Tokens that a new request may reserve."""
         return self.granted - self.spent - self.reserved
 
 
 def compute_target(
     budget: BudgetView, balance: Balance, demand: Demand, now: float
 ) -> int:
-    """Return the tokens that a keeper should have available."""
+    """Returns the tokens that a primary relay should have available."""
     margin = MARGIN_REQUESTS * demand.largest / budget.primaries
     rate = demand.estimate_rate(now)
     need = rate * TARGET_SECONDS + margin
     minimum = rate * MIN_TARGET_SECONDS
     if budget.warming_up:
-        # How long the budget will last isn't known yet, either.
+        # It isn't known yet how long the budget will last, either.
         minimum = max(minimum, WARM_UP_SHARE * budget.prepaid / budget.primaries)
         need = max(need, minimum)
     left = max(0, budget.free) + budget.held + max(0, balance.available)
@@ -225,14 +238,14 @@
 
 
 def compute_held_share(left: float, rate: float) -> float:
-    """Return the part of what is left of a budget that all keepers may hold.
+    """Returns the share of the remaining budget that all primary relays may hold.
 
-    The load it is for: an account whose callers ask for more than it has, while hosts
+    It is made for an account whose callers request more than its budget, while hosts
     lose power one after the other or all at once.
 
     Args:
-        left: Tokens.
-        rate: Tokens that all callers ask for in a second.
+        left: Remaining tokens.
+        rate: Demand rate of all callers, tokens per second.
     """
     ample_ratio = min(1.0, left / max(1.0, rate * AMPLE_SECONDS))
     return MAX_HELD_SHARE * ample_ratio**SCARCITY_EXPONENT
@@ -241,13 +254,14 @@
 def plan_change(
     budget: BudgetView, balance: Balance, demand: Demand, now: float
 ) -> int:
-    """Return by how much a keeper's grant should change; below 0 gives back."""
+    """Returns the change of a primary relay's grant; a negative number returns
+    tokens."""
     target = compute_target(budget, balance, demand, now)
     available = balance.available
     short = demand.unmet > available
     wanted = target + demand.unmet if short else target
-    # Of an account that nobody asks for, the part that may be held grows as its demand
-    # is forgotten; fetching that would cost a write for nothing.
+    # As the demand of an idle account decays, the share that may be held grows. Drawing
+    # that share would cost a write for nothing.
     has_demand = budget.warming_up or not demand.is_idle(now)
     if short or (has_demand and available < REFILL_THRESHOLD * target):
         return max(0, min(max(0, budget.free), wanted - available))
@@ -263,13 +277,13 @@
 def plan_vesting(
     budget: BudgetView, free: int, demand: Demand, now: float
 ) -> VestingTerms:
-    """Return how a grant should open.
+    """Returns how a grant should vest.
 
-    The load it is for: hosts that die, one or all, while each holds what its callers
-    ask for in many seconds. What hadn't opened by then comes back to the account.
+    It is made for crashes of one host or of all, while each holds many seconds of
+    demand. What hadn't vested by then returns to the account.
 
     Args:
-        free: Tokens of the grant that nobody uses.
+        free: Unused tokens of the grant.
     """
     demand_rate = demand.estimate_rate(now)
     rate = VESTING_FACTOR * demand_rate
@@ -280,7 +294,7 @@
         + BURST_SECONDS * demand_rate
     )
     if budget.warming_up:
-        # The first callers may meet a cut, and what they will ask for isn't known.
+        # The first requests may come during an outage, and their demand isn't known.
         burst = max(burst, WARM_UP_SHARE * budget.prepaid / budget.primaries)
     return VestingTerms(int(burst) + demand.unmet, int(rate))
 
@@ -288,10 +302,10 @@
 def is_over_vested(
     budget: BudgetView, available: int, terms: VestingTerms, disbursed_since: int
 ) -> bool:
-    """Return whether so much more of a grant is open than need be that a write pays.
+    """Returns whether the vested tokens exceed the need by enough to be worth a write.
 
     Args:
-        passed: Tokens given out since the grant was written.
+        disbursed_since: Tokens disbursed since the grant was written.
     """
     threshold = MAX_EXCESS_SHARE * budget.prepaid
     return (
@@ -301,10 +315,10 @@
 
 
 def plan_direct_draw(free: int, available: int, demand: Demand, now: float) -> int:
-    """Return by how much the grant of a relay should change that keeps no account.
+    """Returns the change of the grant of a relay that isn't primary for the account.
 
-    It draws for itself when no relay that keeps the account answers, and as little as
-    a borrower asks for: the next request may find its lender again.
+    It draws for itself if no primary relay responds, and only as much as it would
+    borrow: the next request may find its lender again.
     """
     needed = demand.unmet - available
     if needed > 0:
@@ -313,33 +327,34 @@
 
 
 def plan_loan(available: int, needed: int, wanted: int) -> int:
-    """Return the tokens that a relay hands to another that has too few.
+    """Returns the tokens that a relay lends to another one that has too few.
 
-    The load it is for: all relays are cut off from the store, and callers come
-    unevenly. One request that waits now goes before requests that may come here
-    later, so it gets what it needs even if that is all. Beyond that, half of what is
-    left stays: who will be asked for more next isn't known.
+    It is made for outages in which no relay can reach the store and demand is uneven. A
+    request that waits now takes precedence over later ones here, so it gets what it
+    needs even if that is everything. Beyond that, half of the rest stays, since it
+    isn't known which relay will have the next demand.
 
     Args:
-        needed: For requests that wait.
-        wanted: To last for a while.
+        needed: Tokens for waiting requests.
+        wanted: Tokens to last for a while, those needed included.
     """
     available = max(0, available)
     return max(min(needed, available), min(wanted, available // 2))
 
 
 def plan_borrow(needed: int, demand: Demand, now: float) -> int:
-    """Return the tokens to ask a lender for, with what will be needed soon."""
+    """Returns the tokens to request from a lender, including those needed soon."""
     if not demand.has_reliable_rate(now):
         return needed
     return needed + int(BORROW_AHEAD_SECONDS * demand.estimate_rate(now))
 
 
 def plan_return(available: int, demand: Demand, now: float) -> int:
-    """Return the tokens that a borrower should give back.
+    """Returns the tokens that a borrower should return.
 
-    The load it is for: many relays, each with few requests of an account. What one
-    keeps for a request that may not come, all others miss as the budget runs low.
+    It is made for many relays, each with few requests of an account. As the budget runs
+    low, tokens kept at one relay for a request that may never come are missing at all
+    the others.
     """
     kept = 0
     if not demand.is_idle(now):
--- a/knapweedrail/relay/holdings.py
+++ b/knapweedrail/relay/holdings.py
@@ -1,4 +1,5 @@
-"""Task that keeps this relay's share of prepaid tokens, and reserves out of it."""
+"""Task that holds this relay's share of prepaid tokens and reserves tokens for
+requests."""
 
 from __future__ import annotations
 
@@ -28,31 +29,32 @@
 from .stores import Store
 
 REFILL_INTERVAL_SECONDS = 1.0
-"""Pause between looks at what is held, in which at most a tenth of it is spent."""
+"""Pause between checks of the balances; at most a tenth of a balance is spent in it."""
 
 JITTER_BOUNDS = (0.7, 1.3)
-"""Bounds of what pauses are multiplied by, drawn each time. Relays start together; with
-equal pauses the keepers of an account would look at the same moments ever after, and
-their writes would meet."""
+"""Bounds of the random factor of each pause. Relays start together; with equal pauses
+the primary relays of an account would check at the same moments from then on, and their
+writes would conflict."""
 
 TOKEN_WAIT_SECONDS = 0.5
-"""How long a request waits for tokens: a hundred answers of the store, or two relays
-that are asked. Who takes longer is away, and the caller is told when to come back."""
+"""Longest time that a request waits for tokens: a hundred replies of the store, or
+requests to two other relays. Beyond that the ledger counts as out of reach, and the
+caller is told when to retry."""
 
 
 class Holdings(Task, TokenLender):
-    """Keeps tokens at hand by conditional updates of the ledger, and by loans.
+    """Holds tokens by conditional updates of the ledger and by loans.
 
-    One relay of each data centre draws on the ledger for an account and lends to the
-    others there. A relay that finds no lender draws for itself.
+    For each account, one primary relay per data centre draws on the ledger and lends
+    tokens to the other relays there. A relay that finds no lender draws for itself.
 
     Args:
         store: The platform's store.
-        neighbours: Calls to the other relays.
-        membership: Which relays there are.
+        neighbours: Client for the other relays.
+        membership: The relays that take part.
         read_configuration: Returns the configuration in force, if one is known.
-        malformed: Told of ledgers that can't be read.
-        clock: By which grants open; the host's own if left out.
+        malformed: Records ledgers that can't be decoded.
+        clock: Clock by which grants vest; the host's own by default.
     """
 
     def __init__(
@@ -92,10 +94,13 @@
                 )
 
     async def reserve(self, account: Account, tokens: int) -> Reservation | Shortage:
-        """Set tokens aside for a request, at its most.
+        """Reserves the most tokens that a request may use.
 
         A request that finds too few waits for the ledger or for another relay, and is
-        refused when neither has enough.
+        refused if neither has enough.
+
+        Returns:
+            The reservation, or the reason why there is none.
         """
         if account.prepaid is None:
             return Reservation(None, 0)
@@ -127,7 +132,8 @@
         if self._released:
             return TradeAnswer(self._holder, 0, Shortage.OUT_OF_REACH)
         if holding.revision is None:
-            # The caller may know of a grant that an earlier life here has left.
+            # The caller may know of a grant left by a previous incarnation on this
+            # host.
             self._updater.schedule_refresh(holding)
         if trade.lender == self._holder:
             received = allowance.accept_return(
@@ -154,12 +160,12 @@
         return TradeAnswer(self._holder, total, shortage)
 
     def read_available(self, account: str) -> float:
-        """Return the tokens of an account that are free here."""
+        """Returns the tokens of an account that are available at this relay."""
         holding = self._by_account.get(account)
         return float(holding.allowance.available) if holding else 0.0
 
     def describe(self, account: Account) -> dict[str, Any]:
-        """Return what is known of an account, and since when, for a log line."""
+        """Returns the state of an account, and its age in seconds, for a log line."""
         holding = self._get(account.name)
         return {
             "available": holding.allowance.available,
@@ -175,7 +181,7 @@
         }
 
     async def release(self) -> None:
-        """Give all tokens back; call when no request is under way any more."""
+        """Returns all tokens. To be called once no request is running any more."""
         self._released = True
         self._updater.close()
         async with anyio.create_task_group() as group:
@@ -189,7 +195,7 @@
         return self._by_account[account]
 
     def _start_due_work(self, group: anyio.abc.TaskGroup) -> None:
-        """Begin what changes of the ledger and what returns of loans are due."""
+        """Starts the ledger updates and loan messages that are due."""
         for account in self._updater.list_prepaid_accounts():
             if account.name in self._by_account or self._membership.keeps(account.name):
                 group.start_soon(self._maintain_loans, self._get(account.name))
@@ -200,7 +206,7 @@
                 continue
             self._updater.schedule_refresh(holding)
             if self._updater.store_unavailable:
-                # One call tells whether the store is back.
+                # One call suffices to learn whether the store is available again.
                 break
 
     async def _maintain_loans(self, holding: AccountHolding) -> None:
@@ -212,7 +218,7 @@
     async def _obtain_tokens(
         self, account: Account, holding: AccountHolding, tokens: int
     ) -> Shortage | None:
-        """Reserve tokens as they come from the ledger or from other relays."""
+        """Reserves tokens as they arrive from the ledger or from other relays."""
         allowance = holding.allowance
         shortage: Shortage | None = None
         if self._membership.keeps(account.name):
@@ -235,7 +241,7 @@
     async def _draw_for_peer(
         self, holding: AccountHolding, needed: int
     ) -> Shortage | None:
-        """Have the ledger asked for tokens that another relay needs."""
+        """Draws tokens on the ledger that another relay needs."""
         account = self._updater.find_account(holding.name)
         if account is None:
             return Shortage.OUT_OF_REACH
@@ -249,11 +255,12 @@
         return Shortage.OUT_OF_REACH
 
     async def _release_account(self, holding: AccountHolding) -> None:
-        """Give one account's tokens back, to the ledger or else to another relay."""
+        """Returns one account's tokens to the ledger, or else to another relay."""
         for _ in range(MAX_WRITE_ATTEMPTS):
             if self._holder not in holding.ledger.grants:
                 break
-            # What an unanswered write of this loop gives back, the next one does.
+            # Tokens returned by an unconfirmed write of this loop are returned by the
+            # next one.
             returned = max(0, holding.allowance.free + holding.allowance.withheld)
             planned = holding.ledger.copy()
             holding.allowance.record_spent(planned)
@@ -271,6 +278,6 @@
 
 
 def compute_refill_pause(store_unavailable: bool, rng: Any) -> float:
-    """Return the pause before the next look at what is held, seconds."""
+    """Returns the pause before the next check of the balances, seconds."""
     pause = OUTAGE_RETRY_SECONDS if store_unavailable else REFILL_INTERVAL_SECONDS
     return pause * rng.uniform(*JITTER_BOUNDS)
--- a/knapweedrail/relay/ledgers.py
+++ b/knapweedrail/relay/ledgers.py
@@ -1,17 +1,18 @@
 """The ledger of prepaid tokens: what each holder was granted, and what is used.
 
-Pure. One object of the platform's store holds one account, and every change is a
-conditional update of it. What is used and all grants together never exceed what was
-prepaid, so no order of events lets holders overspend: tokens come into the hands of
-relays by grants alone, and from then on are only lent, given back and spent.
-
-A holder is one life of a relay process. What an ended holder was granted stays granted
-until the next life of the same host settles it: what can have been used counts as used,
-and the rest is free again. How much that is, the grant's opening tells.
-
-The ledger knows nothing of what holders lend to each other. A relay may give back to
-one that didn't lend to it, when its lender is gone; a grant is therefore a net figure,
-and may fall below 0 where a holder has given the ledger more than it had from there.
+Pure. One object of the platform's store holds the ledger of one account, and every
+change is a conditional update of it. Used tokens plus all grants never exceed the
+prepaid tokens, so no order of events can overspend a budget: relays get tokens by
+grants alone, and from then on tokens are only lent, returned and spent.
+
+A holder is one incarnation of a relay process. The grant of an ended holder stays in
+the ledger until the next incarnation on the same host settles it: tokens that may have
+been used count as used, and the rest is free again. The grant's vesting schedule bounds
+what may have been used.
+
+The ledger doesn't record loans between holders. A relay whose lender is gone may return
+tokens to another relay. A grant is therefore a net figure, and may be negative if a
+holder has returned more to the ledger than it drew from it.
 """
 
 from __future__ import annotations
@@ -25,18 +26,19 @@
 from .openings import Moment, VestingSchedule, decode_schedule, encode_schedule
 
 MAX_TOKENS = 2**53
-"""Largest number of tokens; up to there every parser of JSON reads it exactly."""
+"""Largest number of tokens. JSON parsers represent integers exactly up to it."""
 
 
 @attrs.frozen
 class Grant:
-    """What one holder has of one account.
+    """Grant of one account to one holder.
 
     Attributes:
-        tokens: Granted in all, less what it gave back.
-        spent: Spent of it, as the holder last reported; it may be more by now.
-        opening: How much of it the holder may have used by when; ``None`` if it may
-            have used all at any time.
+        tokens: Tokens granted in total, less those returned.
+        spent: Tokens spent of it as last reported by the holder; the real figure may be
+            higher.
+        vesting: Bounds what the holder may have used by when; ``None`` if it may have
+            used everything at any time.
     """
 
     tokens: int
@@ -45,7 +47,7 @@
 
 
 class Evidence(enum.Enum):
-    """What is known of how much an ended holder has used."""
+    """Basis on which the use of an ended holder is determined."""
 
     VESTING = "its grant opened with time, on this boot's clock"
     NO_VESTING = "its grant was open as a whole"
@@ -54,16 +56,16 @@
 
 @attrs.frozen
 class Settlement:
-    """What became of the grant of an ended holder.
+    """Result of settling the grant of an ended holder.
 
     Attributes:
-        tokens: Of the grant.
-        spent: Reported as spent.
-        used: Counted as used from now on.
-        evidence: What that rests on.
-        opening: How its grant opened, as last written.
-        elapsed: Milliseconds from then until the holder had ended at the latest, if
-            that is known.
+        tokens: Tokens of the grant.
+        spent: Tokens reported as spent.
+        used: Tokens that count as used from now on.
+        evidence: Basis of that number.
+        vesting: Vesting schedule of the grant as last written.
+        elapsed: Milliseconds from that write to the latest time at which the holder can
+            have ended; ``None`` if unknown.
     """
 
     holder: str
@@ -76,7 +78,7 @@
 
     @property
     def written_off(self) -> int:
-        """Tokens that count as used beyond what was reported."""
+        """Tokens that count as used without having been reported as spent."""
         return max(0, self.used - self.spent)
 
     @property
@@ -87,10 +89,10 @@
 
 @attrs.define
 class AccountLedger:
-    """One account.
+    """Ledger of one account.
 
     Attributes:
-        used: Tokens used by holders that are over.
+        used: Tokens used by holders that have ended.
         grants: Grants by holder.
     """
 
@@ -99,18 +101,22 @@
 
     @property
     def committed(self) -> int:
-        """Tokens used, or granted to somebody."""
+        """Tokens that are used or granted."""
         return self.used + sum(grant.tokens for grant in self.grants.values())
 
     @property
     def confirmed_used(self) -> int:
-        """Tokens that are used for certain."""
+        """Tokens that are known to be used."""
         return self.used + sum(
             min(grant.spent, grant.tokens) for grant in self.grants.values()
         )
 
     def count_held(self, excluding: str) -> int:
-        """Return the tokens that holders other than one have not reported as spent."""
+        """Returns the tokens that all holders but one have not reported as spent.
+
+        Args:
+            excluding: The holder to leave out.
+        """
         return sum(
             max(0, grant.tokens - grant.spent)
             for holder, grant in self.grants.items()
@@ -118,10 +124,10 @@
         )
 
     def count_ended(self, is_present: Callable[[str], bool]) -> int:
-        """Return the tokens that holders which are gone have not reported as spent.
+        """Returns the tokens that ended holders have not reported as spent.
 
         Args:
-            is_present: Returns whether a holder is still there.
+            is_present: Returns whether a holder is still running.
         """
         return sum(
             max(0, grant.tokens - grant.spent)
@@ -130,27 +136,27 @@
         )
 
     def copy(self) -> AccountLedger:
-        """Return a copy that can be changed by itself."""
+        """Returns an independent copy."""
         return AccountLedger(self.used, dict(self.grants))
 
 
 def name_holder(host: str, incarnation: str) -> str:
-    """Return the name of a holder.
+    """Returns the name of a holder.
 
     Args:
         host: Name of the host, the same after a restart.
-        life: Unique to the process.
+        incarnation: Unique to the process.
     """
     return f"{host}/{incarnation}"
 
 
 def get_host(holder: str) -> str:
-    """Return the name of a holder's host."""
+    """Returns the name of a holder's host."""
     return holder.rpartition("/")[0]
 
 
 def list_previous_incarnations(ledger: AccountLedger, holder: str) -> list[str]:
-    """Return the earlier lives of a holder's host that have a grant."""
+    """Returns the previous incarnations on a holder's host that still have a grant."""
     host = get_host(holder)
     return [name for name in ledger.grants if name != holder and get_host(name) == host]
 
@@ -158,13 +164,16 @@
 def settle_previous_incarnations(
     ledger: AccountLedger, holder: str, started: Moment | None = None
 ) -> list[Settlement]:
-    """Settle what earlier lives of a holder's host left.
+    """Settles the grants of previous incarnations on a holder's host.
 
-    A host runs one process of a role, so an earlier life of the host is over.
+    A host runs one process per role, so previous incarnations have ended.
 
     Args:
-        started: When the holder's own life began, by which the others had ended;
-            ``None`` if that isn't known.
+        started: When the holder itself started, by which time the others had ended;
+            ``None`` if unknown.
+
+    Returns:
+        One settlement for each previous incarnation.
     """
     settled = []
     for name in list_previous_incarnations(ledger, holder):
@@ -191,13 +200,13 @@
 
 
 def release_holder(ledger: AccountLedger, holder: str, returned: int) -> None:
-    """Take back what a holder has left that spends nothing any more.
+    """Ends the grant of a holder that spends nothing any more.
 
-    What others still have of it stays granted: they may spend it yet, so it must not
-    count as surely used.
+    Tokens that it has lent stay granted. Their borrowers may still spend them, so they
+    must not count as used for certain.
 
     Args:
-        returned: What it has left.
+        returned: Tokens that it has left.
     """
     grant = ledger.grants.pop(holder, Grant(0, 0))
     left = grant.tokens - returned
@@ -208,11 +217,11 @@
 
 
 def encode_account(ledger: AccountLedger) -> dict[str, Any]:
-    """Return an account's ledger as it is stored."""
+    """Returns an account's ledger in its stored form."""
     grants = {
         holder: [grant.tokens, grant.spent] for holder, grant in ledger.grants.items()
     }
-    # Apart from the grants, so that relays of the version before can read these.
+    # Kept apart from the grants, so that relays of the previous version can read those.
     schedules = {
         holder: encode_schedule(grant.vesting)
         for holder, grant in ledger.grants.items()
@@ -222,11 +231,11 @@
 
 
 def decode_account(spec: Any) -> AccountLedger:
-    """Decode an account's stored ledger.
+    """Decodes the stored ledger of an account.
 
     Raises:
-        ValueError: If it doesn't have the form that `encode_account` gives, or less
-            than nothing was given out by it.
+        ValueError: If it doesn't have the form that `encode_ledger` gives, or its
+            committed tokens are negative.
     """
     try:
         schedules = spec.get("openings")
@@ -241,33 +250,33 @@
         }
         ledger = AccountLedger(_parse_tokens(spec["used"]), grants)
     except (AttributeError, KeyError, TypeError, ValueError) as error:
-        raise ValueError(f"not an account's ledger: {error!r:.200}") from error
+        raise ValueError(f"invalid account ledger: {error!r:.200}") from error
     if ledger.committed < 0:
-        raise ValueError(f"a ledger that has given out {ledger.committed:.3g}")
+        raise ValueError(f"committed tokens are negative: {ledger.committed:.3g}")
     return ledger
 
 
 def _parse_holder(value: Any) -> str:
     if not (isinstance(value, str) and "/" in value):
-        raise ValueError(f"no holder: {value!r:.50}")
+        raise ValueError(f"invalid holder name: {value!r:.50}")
     return value
 
 
 def _parse_tokens(value: Any) -> int:
-    """Return a number of tokens; nothing is converted.
+    """Returns a number of tokens without any conversion.
 
-    What goes wrong otherwise: a number cut off at its point, a truth value or one in a
-    text counts as fewer tokens than were granted, and the rest is granted once more.
+    A truncated float, a boolean or a numeric string would count as fewer tokens than
+    were granted, and the difference would be granted a second time.
     """
     if isinstance(value, bool) or not isinstance(value, int):
-        raise ValueError(f"no number of tokens: {value!r:.50}")
+        raise ValueError(f"token count is not an integer: {value!r:.50}")
     if abs(value) > MAX_TOKENS:
-        raise ValueError("more tokens than any account has")
+        raise ValueError("token count exceeds 2**53")
     return value
 
 
 def _parse_spent(value: Any) -> int:
     spent = _parse_tokens(value)
     if spent < 0:
-        raise ValueError(f"spent {spent}")
+        raise ValueError(f"spent tokens are negative: {spent}")
     return spent
--- a/knapweedrail/relay/loans.py
+++ b/knapweedrail/relay/loans.py
@@ -1,4 +1,4 @@
-"""Loans from other relays: asking for tokens, and giving back what isn't needed."""
+"""Loans from other relays: borrowing tokens and returning those not needed."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from .signals import Signal
 
 SETTLEMENT_PROMPT_SECONDS = 4.0
-"""Pause between reminders of one ended life. Its host settles within some answers of
-the store, and what the reminding relay knows of the ledger is seconds old."""
+"""Pause between prompts to settle one ended incarnation. Its host settles within a few
+replies of the store, and the prompting relay's view of the ledger is seconds old."""
 
 
 class TokenBorrower:
     """Borrows tokens for this relay.
 
     Args:
-        neighbours: Calls to the other relays.
-        membership: Which relays there are.
-        changed: Given whenever what is held may have changed.
+        neighbours: Client for the other relays.
+        membership: The relays that take part.
+        changed: Notified whenever balances may have changed.
     """
 
     def __init__(
@@ -37,7 +37,11 @@
         self._holder = membership.member.holder
 
     async def borrow(self, holding: AccountHolding, tokens: int) -> Shortage | None:
-        """Ask other relays in turn until what waits here can be served."""
+        """Borrows from other relays in turn until the waiting requests can be served.
+
+        Returns:
+            Why there are still too few tokens, if a lender told; otherwise ``None``.
+        """
         while holding.borrowing:
             await self._changed.wait()
             if holding.allowance.available >= tokens:
@@ -50,12 +54,12 @@
             self._changed.give()
 
     async def return_excess(self, holding: AccountHolding) -> None:
-        """Give back what was borrowed and isn't needed, to who keeps the account."""
+        """Returns borrowed tokens that aren't needed to the account's primary relay."""
         allowance = holding.allowance
         if holding.borrowing or self._membership.keeps(holding.name):
             return
         if self._holder in holding.ledger.grants:
-            # It drew on the ledger itself, and gives back there.
+            # This relay drew on the ledger itself, and returns tokens there.
             return
         now = time.monotonic()
         tokens = plan_return(allowance.available, allowance.demand, now)
@@ -66,11 +70,11 @@
         await self.give_back(holding, lenders[0], tokens)
 
     async def resolve_unconfirmed(self, holding: AccountHolding) -> None:
-        """Say what a lender may not have heard, and ask what it has lent.
+        """Repeats totals that a lender may have missed, and queries what it has lent.
 
-        A lender whose answer was lost has put tokens out of use for this relay, and
-        one that didn't hear of a return still counts it as lent. Until it hears what
-        was spent, callers of a spent budget are told to come back.
+        A lender whose answer was lost has taken tokens out of use for this relay, and
+        one that missed a return still counts those tokens as lent. Until it learns how
+        many were spent, callers of a spent budget are told to retry.
         """
         idle = holding.allowance.demand.is_idle(time.monotonic())
         members = {m.holder: m for m in self._membership.list_others()}
@@ -88,10 +92,10 @@
                     await self._trade(holding, member)
 
     async def prompt_settlements(self, holding: AccountHolding) -> None:
-        """Remind hosts of what their earlier lives hold.
+        """Prompts hosts to settle grants of their previous incarnations.
 
-        Only the host itself can tell how long they lived. One that doesn't keep the
-        account any more has no other reason to look at its ledger.
+        Only the host itself can tell how long they ran. A host that is no longer
+        primary for the account has no other reason to read its ledger.
         """
         now = time.monotonic()
         for holder, grant in list(holding.ledger.grants.items()):
@@ -112,7 +116,8 @@
     async def give_back(
         self, holding: AccountHolding, lender: Member, tokens: int
     ) -> TradeAnswer | None:
-        """Give tokens to a relay; return ``None`` if it may not have heard."""
+        """Returns tokens to a relay; gives ``None`` if the relay may not have received
+        them."""
         holding.allowance.give_back(lender.holder, tokens)
         log_event(
             Event.TOKENS_RETURNED,
@@ -132,8 +137,9 @@
             needed = allowance.demand.unmet - allowance.available
             if needed <= 0:
                 break
-            # A second one of a data centre is there for when the first is silent; it
-            # would draw on the ledger for what that has just found missing there.
+            # The second lender of a data centre stands in while the first is
+            # unresponsive. If the first answered, the second would only draw on the
+            # ledger for tokens that the first has just found missing there.
             if member.data_centre in answered:
                 continue
             if self._neighbours.is_avoided(member, now):
@@ -156,7 +162,8 @@
     async def _trade(
         self, holding: AccountHolding, member: Member, needed: int = 0, wanted: int = 0
     ) -> TradeAnswer | None:
-        """Ask one relay for tokens, and say what it was given back."""
+        """Requests tokens from one relay, and reports the totals returned to it and
+        spent."""
         loan = holding.allowance.borrowed.get(member.holder)
         trade = Trade(
             account=holding.name,
@@ -167,7 +174,8 @@
             returned=loan.returned if loan else 0,
             spent=loan.spent if loan else 0,
         )
-        # Until it has answered it may have lent, also when nobody waits here any more.
+        # Until the relay has answered it may have lent tokens, even if no request waits
+        # for them any more.
         holding.unconfirmed_hosts.add(member.host)
         answer = await self._neighbours.trade(member, trade)
         if answer is None:
--- a/knapweedrail/relay/openings.py
+++ b/knapweedrail/relay/openings.py
@@ -1,13 +1,14 @@
-"""How fast a grant opens to its holder, and what an ended holder can have used of it.
+"""Vesting schedules of grants, which bound what an ended holder can have used.
 
-Pure. A holder keeps tokens for many seconds ahead, as it may be cut off from the
-ledger, and nobody needs them all at once. So each grant tells how much of it may be
-used when it is written, and how much more with each millisecond since. When the holder
-dies, what had not opened by then wasn't used, and goes back to the account.
+Pure. A holder keeps tokens for many seconds of demand, since it may lose contact to the
+ledger, and doesn't need them all at once. So each grant states how many of its tokens
+may be used when it is written, and how many more vest with each millisecond. If the
+holder crashes, tokens that hadn't vested by then weren't used, and return to the
+account.
 
-The holder and its successor on the same host read the same clock, which runs since the
-host's boot. The successor has to know that it is the same boot: after a loss of power
-the clock starts anew, and then nothing is known of how long the holder lived.
+The holder and its successor on the same host read the same clock, which counts from the
+host's boot. The successor has to verify that it is the same boot: a power loss resets
+the clock, and then it isn't known how long the holder was running.
 """
 
 from __future__ import annotations
@@ -17,12 +18,11 @@
 import attrs
 
 BOOT_TOLERANCE_MILLISECONDS = 500
-"""How far apart two readings may put the beginning of one boot. It is read by the time
-of day, which is corrected in small steps; a larger one makes it another boot, and then
-all counts as used."""
+"""Largest difference between two estimates of one boot's start. The estimates come from
+the time of day, which is corrected in small steps. A larger step looks like another
+boot, and then the whole grant counts as used."""
 
 _MILLISECONDS_PER_SECOND = 1000
-"""Milliseconds."""
 
 _FIELD_COUNT = 5
 
@@ -31,21 +31,22 @@
 class Boot:
     """One boot of a host.
 
-    What goes wrong with the identity alone: a virtual machine that is set back to a
-    snapshot keeps it, while its clock goes back, and so does a machine whose identity
-    is that of what it runs on. Tokens that were used would come back. The clock and
-    the time of day together show it.
+    The identity alone isn't enough: a virtual machine that is restored from a snapshot
+    keeps it while its clock goes back, and so does a guest that shows the identity of
+    the system it runs on. Used tokens would then be returned to the account. The clock
+    and the time of day together reveal this.
 
     Attributes:
-        identity: The system's own name for it; empty if it has none.
-        began: When it seems to have begun by the time of day, Unix milliseconds.
+        identity: The boot's identity as given by the operating system; empty if there
+            is none.
+        started_at: Estimated start of the boot by the time of day, Unix milliseconds.
     """
 
     identity: str
     started_at: int
 
     def is_same(self, other: Boot) -> bool:
-        """Return whether both are one boot for certain."""
+        """Returns whether both are certainly the same boot."""
         if not self.identity or self.identity != other.identity:
             return False
         return abs(self.started_at - other.started_at) <= BOOT_TOLERANCE_MILLISECONDS
@@ -56,15 +57,15 @@
     """A reading of a host's clock.
 
     Attributes:
-        at: Milliseconds since the boot.
+        uptime: Milliseconds since the boot.
     """
 
     boot: Boot
     uptime: int
 
     def measure_since(self, earlier: Moment) -> int | None:
-        """Return the milliseconds since an earlier moment of the same boot; ``None``
-        if that isn't certain."""
+        """Returns the milliseconds since an earlier reading of the same boot; ``None``
+        if it isn't certain that it is one."""
         if not self.boot.is_same(earlier.boot) or self.uptime < earlier.uptime:
             return None
         return self.uptime - earlier.uptime
@@ -72,14 +73,14 @@
 
 @attrs.frozen
 class VestingSchedule:
-    """How much of a grant its holder may have used.
+    """Bounds how much of a grant its holder may have used.
 
-    What counts is the net use: tokens spent, set aside or lent, less those borrowed.
+    Use is counted net: tokens spent, reserved or lent, less those borrowed.
 
     Attributes:
-        tokens: At the moment it was written.
-        rate: More with each second after.
-        since: That moment.
+        tokens: Tokens vested when it was written.
+        rate: Tokens that vest per second after that.
+        since: When it was written.
     """
 
     tokens: int
@@ -87,30 +88,34 @@
     since: Moment
 
     def count_vested_at(self, uptime: int) -> int:
-        """Return the tokens that are open to the holder.
+        """Returns the tokens that have vested by a time.
 
         Args:
-            at: Milliseconds since the same boot.
+            uptime: Milliseconds since the same boot.
         """
         return self.count_vested_after(uptime - self.since.uptime)
 
     def count_vested_after(self, elapsed: int) -> int:
-        """Return the tokens that are open so many milliseconds after it was written."""
+        """Returns the tokens that have vested some time after it was written.
+
+        Args:
+            elapsed: Milliseconds since it was written.
+        """
         return self.tokens + self.rate * max(0, elapsed) // _MILLISECONDS_PER_SECOND
 
 
 def encode_schedule(vesting: VestingSchedule) -> list[Any]:
-    """Return an opening as it is stored."""
+    """Returns a vesting schedule in its stored form."""
     since = vesting.since
     boot = since.boot
     return [vesting.tokens, vesting.rate, since.uptime, boot.identity, boot.started_at]
 
 
 def decode_schedule(value: Any) -> VestingSchedule | None:
-    """Return a stored opening; ``None`` for a spoilt one.
+    """Returns a stored vesting schedule; ``None`` if it is invalid.
 
-    Without it the grant is taken for open as a whole: that costs its tokens when the
-    holder dies, and never lets them be used twice.
+    A grant without a schedule counts as fully vested. That costs its tokens if the
+    holder crashes, but never lets them be used twice.
     """
     if not isinstance(value, list) or len(value) != _FIELD_COUNT:
         return None
--- a/knapweedrail/relay/reservations.py
+++ b/knapweedrail/relay/reservations.py
@@ -1,4 +1,4 @@
-"""Tokens set aside for one request, and why there may be none."""
+"""Token reservations of requests, and the reasons why one may fail."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Shortage(enum.Enum):
-    """Why tokens can't be reserved."""
+    """Reason why tokens can't be reserved."""
 
     SPENT = "the budget doesn't cover the request"
     HELD_ELSEWHERE = "what is left is held by other relays"
@@ -20,13 +20,14 @@
 
 @attrs.define
 class Reservation:
-    """Tokens set aside for one request; `settle` ends it, once."""
+    """Tokens reserved for one request; `settle` ends it, and only the first call
+    counts."""
 
     allowance: Allowance | None
     tokens: int
 
     def settle(self, used: int) -> None:
-        """Count what was used and free the rest."""
+        """Counts the tokens used and frees the rest."""
         if self.allowance is not None:
             self.allowance.settle(self.tokens, used)
             self.allowance = None
@@ -40,16 +41,16 @@
     reachable: bool,
     fresh: bool,
 ) -> Shortage | None:
-    """Return why the ledger has no tokens, or ``None`` if a look may help.
+    """Returns why the ledger has too few tokens, or ``None`` if reading it may help.
 
-    "Spent" is said only when it is true: what is surely used leaves too little, even
-    if all others gave back what they hold.
+    `Shortage.SPENT` is returned only if it is certain: the tokens known to be used
+    leave too few, even if all other relays returned what they hold.
 
     Args:
-        tokens: Tokens that a request needs.
-        free: Tokens granted here that nobody uses, open or not.
-        reachable: Whether the ledger could be reached last.
-        recent: Whether it was seen so lately that another look would bring nothing.
+        tokens: Tokens that the request needs.
+        free: Unused tokens granted to this relay, vested or not.
+        reachable: Whether the ledger can be reached, as far as known.
+        fresh: Whether it was read so recently that another read would show nothing new.
     """
     if not reachable:
         return Shortage.OUT_OF_REACH
--- a/knapweedrail/relay/successors.py
+++ b/knapweedrail/relay/successors.py
@@ -1,13 +1,14 @@
-"""Task that finds out which runner has taken the place of one that ended.
+"""Task that identifies the runner that has replaced an ended one at its address.
 
-The load it is for: runners crash and start again while this relay is cut off from the
-store, so that it can't hear of their new lives. It went on with those that were left,
-three of five, and every second prompt was late, with two idle runners a call away.
+It is made for runners that crash and restart while this relay can't reach the store, so
+that it doesn't learn of their new incarnations. Without it the relay went on with the
+remaining runners, three of five, and every second prompt was late while two idle
+runners were reachable.
 
-What an address's new holder says of itself is believed only where it can't mislead: it
-must report an engine's memory, and the configuration must have one endpoint with
-engines. Addresses are used again by other endpoints; two endpoints of engines look
-alike, and a request must never reach the wrong one.
+The report of the runner now at an address is trusted only where it can't mislead: it
+must state the memory of an engine, and the configuration must have exactly one endpoint
+with engines. Addresses are reused by other endpoints. Two endpoints with engines can't
+be distinguished by the report, and a request must never reach the wrong one.
 """
 
 from __future__ import annotations
@@ -26,13 +27,15 @@
 from .runners import RunnerTable
 
 REPORT_TIMEOUT_SECONDS = 0.25
-"""Longest wait for a report: a runner gives it at once, without a slot."""
+"""Longest wait for a report. A runner sends it at once, without occupying a slot."""
 
 REPORT_RETRY_SECONDS = 1.0
-"""Pause before the same runner is asked again; its first answer may have been lost."""
+"""Pause before the same runner is queried again, as its first answer may have been
+lost."""
 
 MAX_REMEMBERED_REQUESTS = 1000
-"""Runners remembered as asked; beyond it the memory starts anew, at a question each."""
+"""Number of queried runners to remember. Beyond it all are forgotten, at the cost of
+one more query each."""
 
 
 @attrs.frozen
@@ -40,8 +43,8 @@
     """Another runner answered where one was expected.
 
     Attributes:
-        runner: The one expected.
-        name: Name of the one that answered.
+        runner: The expected runner.
+        name: Name of the runner that answered.
     """
 
     runner: Runner
@@ -49,12 +52,13 @@
 
 
 class Successors(Task):
-    """Asks runners that answer for others, and enters those that may get their work.
+    """Queries runners that answer in place of others, and adds those that may get their
+    requests.
 
     Args:
         pool: Connections to runners.
-        codec: Translates their answers.
-        table: Takes in those found.
+        codec: Encodes report requests and decodes reports.
+        table: Receives the successors.
         read_configuration: Returns the configuration in force, if one is known.
     """
 
@@ -73,7 +77,12 @@
         self._requested_at: dict[str, float] = {}
 
     def note(self, runner: Runner, name: str) -> None:
-        """Take in that another runner answered where one was expected."""
+        """Reports that another runner answered where one was expected.
+
+        Args:
+            runner: The expected runner.
+            name: Name of the runner that answered.
+        """
         now = time.monotonic()
         if now - self._requested_at.get(name, float("-inf")) < REPORT_RETRY_SECONDS:
             return
@@ -142,4 +151,4 @@
 
 
 def _ignore_connect_time(seconds: float, now: float) -> None:
-    """Take no notice of how long a connection took."""
+    """Ignores how long a connection took."""
--- a/knapweedrail/relay/supplies.py
+++ b/knapweedrail/relay/supplies.py
@@ -1,4 +1,4 @@
-"""What spares a follower of the store its own calls, and what it gives in return."""
+"""Updates from other relays that replace a watcher's own calls to the store."""
 
 from __future__ import annotations
 
@@ -9,30 +9,32 @@
 
 
 class Supply(ABC):
-    """What may spare a follower its own calls to the store."""
+    """Source of updates that may replace a watcher's own calls to the store."""
 
     changed: Signal
-    """Given whenever the answer of `measure_rest` may be another one."""
+    """Notified whenever the result of `compute_poll_delay` may have changed."""
 
     @abstractmethod
     def measure_rest(self, kind: str, limit: float) -> float:
-        """Return for how long a follower needn't call the store, seconds.
+        """Returns for how long a watcher needn't call the store, seconds.
 
         Args:
-            limit: Age up to which what is known of the kind counts, seconds.
+            kind: Kind of the objects that it watches.
+            limit: Largest age up to which known objects of the kind count as current,
+                seconds.
         """
 
     @abstractmethod
     def note_change(self) -> None:
-        """Take in that more is known of the store than before."""
+        """Notifies that new changes of the store are known."""
 
     @abstractmethod
     def note_back(self) -> None:
-        """Take in that the store answers again after an outage."""
+        """Notifies that the store is available again after an outage."""
 
 
 class NoSupply(Supply):
-    """Spares nothing: for a relay by itself."""
+    """Replaces no calls; for a relay without peers."""
 
     def __init__(self) -> None:
         self.changed = Signal()
@@ -48,12 +50,13 @@
 
 
 class NewsTaker(ABC):
-    """Follows one kind of the store's objects.
+    """Watches one kind of the store's objects and applies updates from other relays.
 
     Attributes:
-        replica: What is known of it.
-        confirmed_at: A time before which all that the store acknowledged is known.
-        supply: What spares it calls.
+        replica: Known objects of the kind.
+        confirmed_at: A time up to which everything that the store acknowledged is
+            known, seconds.
+        supply: Updates that replace calls to the store.
     """
 
     replica: Replica
@@ -63,12 +66,16 @@
     @property
     @abstractmethod
     def fetching(self) -> bool:
-        """Whether the store has to be read before news can be taken in."""
+        """Whether the store has to be read before updates can be applied."""
 
     @abstractmethod
     def take_news(self, news: News, confirmed_at: float) -> None:
-        """Take in what another relay tells.
+        """Applies an update from another relay.
+
+        Args:
+            news: The update.
+            confirmed_at: A time up to which the update is complete, seconds.
 
         Raises:
-            OutOfStepError: If it doesn't lead on from what is known.
+            OutOfStepError: If it doesn't follow on from the known objects.
         """
--- a/knapweedrail/tests/test_relay_draws.py
+++ b/knapweedrail/tests/test_relay_draws.py
@@ -1,4 +1,4 @@
-"""Draws on a ledger that others write as well."""
+"""Draws on a ledger that other relays write as well."""
 
 import anyio
 import pytest
@@ -21,7 +21,7 @@
 
 
 class UpdaterHarness:
-    """One relay that keeps an account, and another's writes."""
+    """One primary relay's ledger updater, and another relay's writes."""
 
     def __init__(self):
         self.store = MemoryStore()
@@ -40,7 +40,7 @@
         return self.store.objects[LEDGER_KIND, ACCOUNT]
 
     def write_as_other(self, tokens):
-        """Change the ledger as another relay would."""
+        """Changes the ledger as another relay would."""
         ledger = decode_account(self.stored.spec)
         ledger.grants[OTHER] = Grant(tokens, 0)
         self.store.put(LEDGER_KIND, ACCOUNT, encode_account(ledger))
@@ -53,7 +53,7 @@
         return shortage
 
     def expire_view(self):
-        """Make the view of the ledger old."""
+        """Makes the view of the ledger old."""
         self.holding.seen_at = self.holding.peeked_at = float("-inf")
 
 
@@ -67,9 +67,10 @@
 
 
 async def test_draw_peeks_before_writing_a_contended_ledger():
-    """The relays of four data centres draw on one account. Each found that another had
-    written since, and had to write again: nearly every refill cost two calls, and the
-    calls to the store were the dearest part of a day of 89 relays."""
+    """Guards against a conflict at nearly every refill, when the relays of several data
+    centres draw on one account and each finds that another one has written since. With
+    two calls per refill, the calls to the store were the largest cost of a day with 89
+    relays."""
 
     async def scenario(harness):
         assert await harness.draw(1000) is None
@@ -84,8 +85,8 @@
 
 
 async def test_stale_peek_is_ignored():
-    """The store may answer a cheap question with data that is seconds old. Taken in,
-    it would bring tokens back that were given away since, to be spent twice."""
+    """Guards against tokens that are spent twice. A peek may be seconds old; if it were
+    applied, it would restore tokens that were returned since."""
 
     async def scenario(harness):
         await harness.draw(1000)
@@ -102,8 +103,9 @@
 
 @pytest.mark.parametrize("fate", ["lose", "drop"])
 async def test_peek_does_not_undo_an_unconfirmed_return(fate):
-    """A relay gives tokens back and gets no answer. Whether the write takes effect, it
-    can't know yet; a look that still shows the former state proves nothing."""
+    """Guards against tokens that are spent twice after a return whose reply was lost.
+    The write may still take effect; a peek that shows the previous state proves
+    nothing."""
 
     async def scenario(harness):
         await harness.draw(1000)
@@ -121,8 +123,8 @@
 
 
 async def test_stale_peek_does_not_refuse_a_draw():
-    """Another relay has just given everything back, and the cheap answer doesn't show
-    it yet. The ledger itself is asked before a caller is turned away."""
+    """Guards against a refusal based on a stale peek, after another relay has returned
+    all tokens. The ledger itself is read before a request is refused."""
 
     async def scenario(harness):
         full = AccountLedger(0, {OTHER: Grant(PREPAID, 0)})
@@ -136,7 +138,7 @@
 
 
 async def test_failed_peek_marks_the_store_unavailable():
-    """The store is down. Each further call would keep a caller waiting."""
+    """Guards against requests that each wait for a store that is down."""
 
     async def scenario(harness):
         await harness.draw(1000)
@@ -149,7 +151,8 @@
 
 
 async def test_fully_granted_account_costs_few_writes():
-    """Guards against a write of each keeper for each request of a spent account."""
+    """Guards against a write by each primary relay for each request of a spent
+    account."""
 
     async def scenario(harness):
         full = AccountLedger(0, {OTHER: Grant(PREPAID, 0)})
@@ -165,7 +168,7 @@
 
 
 async def test_returned_tokens_are_found_by_the_next_confirmed_read():
-    """Guards against callers who are refused on and on by looks that are old."""
+    """Guards against requests that are refused forever on the basis of stale peeks."""
 
     async def scenario(harness):
         full = AccountLedger(0, {OTHER: Grant(PREPAID, 0)})
--- a/knapweedrail/tests/test_relay_foreign_state.py
+++ b/knapweedrail/tests/test_relay_foreign_state.py
@@ -1,4 +1,4 @@
-"""Relays' own entries and ledgers that another writer wrote, or that can't be read."""
+"""Relays' membership entries and ledgers that are written by others or invalid."""
 
 import copy
 
@@ -40,7 +40,7 @@
 INVALID_LEDGERS = [
     None,
     [],
-    "spoilt",
+    "invalid",
     {},
     Unreadable(),
     {"used": 0},
@@ -64,8 +64,8 @@
 
 @pytest.mark.parametrize("spec", INVALID_LEDGERS)
 def test_invalid_ledger_raises(spec):
-    """Another program writes to the ledgers' kind. Converted or guessed at, a negative
-    or missing number makes room for grants that the account hasn't paid for."""
+    """Guards against ledgers of other writers that are converted or guessed at. A
+    negative or missing number would make room for grants beyond the prepaid tokens."""
     with pytest.raises(ValueError) as caught:
         decode_account(spec)
     assert len(str(caught.value)) < 300
@@ -97,13 +97,16 @@
 @settings(max_examples=60)
 @given(
     st.lists(
-        st.one_of(st.just("draw"), st.just("mend"), st.sampled_from(INVALID_LEDGERS)),
+        st.one_of(
+            st.just("draw"), st.just("restore"), st.sampled_from(INVALID_LEDGERS)
+        ),
         max_size=12,
     )
 )
 def test_corrupted_and_restored_ledgers_never_overspend(steps):
-    """A ledger is spoilt and mended again while requests come. Whatever the relay took
-    the spoilt one for, it must not spend what the mended one doesn't grant it."""
+    """Guards against overspending when a ledger is corrupted and restored while
+    requests arrive. Whatever the relay made of the corrupted ledger, it must not spend
+    more than the restored one grants."""
     anyio.run(check_spending, steps)
 
 
@@ -119,11 +122,11 @@
                 if available >= 30_000:
                     harness.holding.allowance.reserve(30_000)
                     harness.holding.allowance.settle(30_000, 30_000)
-            elif step == "mend" and valid is not None:
+            elif step == "restore" and valid is not None:
                 harness.store.put(LEDGER_KIND, ACCOUNT, valid)
                 valid = None
-            elif step != "mend":
-                # What is there is sound unless it was spoilt before.
+            elif step != "restore":
+                # The stored ledger is valid unless it was corrupted before.
                 valid = valid or copy.deepcopy(harness.stored.spec)
                 harness.store.put(LEDGER_KIND, ACCOUNT, step)
             allowance = harness.holding.allowance
@@ -136,17 +139,17 @@
 
 
 async def test_unreadable_ledger_costs_few_calls():
-    """Callers go on asking for an account whose ledger is spoilt. Each was good for
-    dozens of writes in vain, and all relays share the calls that the store bears."""
+    """Guards against dozens of failing writes for each request of an account whose
+    ledger is corrupted. All relays share the calls that the store can bear."""
 
     async def scenario(harness):
         await harness.draw(1000)
-        harness.store.put(LEDGER_KIND, ACCOUNT, "spoilt")
+        harness.store.put(LEDGER_KIND, ACCOUNT, "invalid")
         harness.expire_view()
         for _ in range(20):
             shortage = await harness.draw(PREPAID - 10)
             assert shortage is Shortage.OUT_OF_REACH
-        assert harness.stored.spec == "spoilt"
+        assert harness.stored.spec == "invalid"
 
     harness = await run_scenario(scenario)
     assert harness.store.conflicts < MAX_WRITE_ATTEMPTS
@@ -189,8 +192,8 @@
 
 @pytest.mark.parametrize("spec", INVALID_MEMBERS)
 def test_invalid_member_entry_raises(spec):
-    """Another program writes to the relays' kind. A request that was to borrow at an
-    address without a port failed with an error of ours."""
+    """Guards against membership entries of other writers. An address without a port
+    made a request that was about to borrow fail with an internal error."""
     with pytest.raises(ValueError) as caught:
         decode_member("h", spec)
     assert len(str(caught.value)) < 300
@@ -202,7 +205,7 @@
 
 
 async def list_hosts(specs):
-    """Return the hosts that a relay lists, at first and after the entries change."""
+    """Returns the hosts that a relay lists, at first and after the entries change."""
     store = MemoryStore()
     own_member = Member("me", "me/1", "127.0.0.1:9", "dc")
     write_members(store, specs[0])
@@ -233,16 +236,17 @@
 
 
 async def test_relays_with_corrupted_entries_stay_listed():
-    """All entries are overwritten at once. Each relay takes its part of the retries
-    that they may make together by their number: taking itself for the only one, each
-    would make as many as all."""
+    """Guards against extra retries when all entries are overwritten at once. Each relay
+    gets a share of the fleet's retries by the number of relays; if it counted only
+    itself, each would make as many as all together."""
     valid = {f"h-{n}": VALID_MEMBER | {"holder": f"h-{n}/1"} for n in range(3)}
-    first, second = await list_hosts([valid, dict.fromkeys(valid, "spoilt")])
+    first, second = await list_hosts([valid, dict.fromkeys(valid, "invalid")])
     assert first == second == {"me", *valid}
 
 
 async def test_relay_rewrites_its_own_corrupted_entry(monkeypatch):
-    """A relay that starts later can't know of one whose entry can't be read."""
+    """Guards against a relay that stays unknown to relays started later, because its
+    entry can't be read."""
     monkeypatch.setattr("knapweedrail.relay.members.LIST_SECONDS", 0.01)
     monkeypatch.setattr("knapweedrail.relay.members.SETTLE_SECONDS", 0.01)
     store = MemoryStore()
--- a/knapweedrail/tests/test_relay_grants.py
+++ b/knapweedrail/tests/test_relay_grants.py
@@ -1,4 +1,4 @@
-"""How many tokens relays hold, under the loads that make it hard."""
+"""How many tokens relays hold, under demanding loads."""
 
 from ..relay.accounts import estimate_others_rate
 from ..relay.grants import (
@@ -49,16 +49,16 @@
 
 
 def test_relay_holds_enough_for_a_store_outage():
-    """All relays lose the store for eight seconds. Callers of an account with plenty
-    left would hear that its budget is out of reach."""
+    """Guards against refusals while all relays lose the store for eight seconds, of an
+    account whose budget has plenty left."""
     demand = make_demand(rate=5000)
     target = compute_target(make_budget(free=MILLION), make_balance(0), demand, 100.0)
     assert target >= 8 * 5000
 
 
 def test_all_relays_hold_a_bounded_share_of_the_rest():
-    """A budget runs low while six relays have callers. What each holds would be lost
-    with it, and is out of the others' reach."""
+    """Guards against six relays with callers that hold all of a budget that runs low.
+    Held tokens are lost with their relay, and out of the others' reach."""
     free, held = 100_000, [0] * 6
     demand = make_demand(rate=20_000)
     for _ in range(5):
@@ -74,8 +74,8 @@
 
 
 def test_relay_with_all_callers_may_hold_the_unused_share_of_others():
-    """All callers of an account come to one relay. With even shares it would run dry
-    in a cut while five others hold tokens that nobody asks for."""
+    """Guards against even shares when all callers of an account come to one relay. It
+    would run out in an outage while five others hold tokens without demand."""
     demand = make_demand(rate=20_000)
     budget = make_budget(free=MILLION, held=0)
     target = compute_target(budget, make_balance(0), demand, 100.0)
@@ -83,7 +83,7 @@
 
 
 def test_tokens_fetched_for_a_burst_are_returned():
-    """A burst ends. What was fetched for it would be lost with the relay."""
+    """Guards against tokens that are kept after a burst, and lost with the relay."""
     demand = make_demand(rate=20_000)
     held = compute_target(make_budget(free=MILLION), make_balance(0), demand, 100.0)
     change = plan_change(make_budget(MILLION - held), make_balance(held), demand, 140.0)
@@ -119,8 +119,8 @@
 
 
 def test_spent_is_reported_only_if_no_relay_holds_the_rest():
-    """A caller that hears "spent" doesn't come back. What other relays hold, or what a
-    view of some seconds ago lacks, isn't spent."""
+    """Guards against a false "spent", after which a caller doesn't retry. Tokens that
+    other relays hold, or that a view of some seconds ago doesn't show, aren't spent."""
     ledger = AccountLedger(used=600, grants={"a/1": Grant(300, 100)})
     assert find_shortage(ledger, 1000, 350, 0, True, True) is Shortage.SPENT
     assert find_shortage(ledger, 1000, 250, 0, True, True) is Shortage.HELD_ELSEWHERE
@@ -130,9 +130,9 @@
 
 
 def test_grant_vests_at_twice_the_demand():
-    """All hosts are cut off from the store, and twice as many callers come as before.
-    They are served for as long as there are tokens, though the grant opens slowly
-    enough that most of it would come back if the host died now."""
+    """Guards against refusals when all hosts lose the store and demand doubles, though
+    there are tokens left. The grant still vests slowly enough that most of it would be
+    recovered if the host crashed now."""
     demand = make_demand(rate=4000)
     terms = plan_vesting(make_budget(free=MILLION // 2), 80_000, demand, 100.0)
     assert terms.rate >= 2 * 3500
@@ -140,20 +140,23 @@
 
 
 def test_grant_without_demand_vests_within_the_maximum_time():
-    """An account is quiet, and its first caller comes in a cut."""
+    """Guards against refusals when the first caller of an idle account comes in an
+    outage."""
     terms = plan_vesting(make_budget(free=MILLION // 2), 24_000, Demand(), 0.0)
     assert terms.rate * 12 >= 24_000
 
 
 def test_new_grant_has_vested_tokens_while_warming_up():
-    """Traffic begins with a cut. No demand is known yet, and callers come at once."""
+    """Guards against refusals when traffic begins with an outage and no demand is
+    known."""
     budget = make_budget(free=MILLION, primaries=4, warming_up=True)
     assert plan_vesting(budget, 20_000, Demand(), 0.0).burst == 20_000
 
 
 def test_schedule_is_rewritten_only_for_a_large_excess():
-    """A host may die at any time, and what is open there is lost. Writing the grant
-    anew at each request would load the store, and for quiet accounts without end."""
+    """Guards against a write of the grant at each request, and against writes without
+    end for idle accounts. Vested tokens are lost when a host crashes, so a large excess
+    is worth a write."""
     terms = VestingTerms(burst=5_000, rate=8_000)
     budget = make_budget(free=MILLION // 2)
     assert is_over_vested(budget, 20_000, terms, 6_000)
@@ -162,7 +165,8 @@
 
 
 def test_tokens_returned_to_an_account_without_demand_are_accepted():
-    """Guards against a lender that fails as a borrower gives back what others lent."""
+    """Guards against a lender that fails when a borrower returns tokens lent by other
+    relays."""
     demand = Demand()
     demand.record_return(100, now=1e6)
     assert demand.estimate_rate(1e6) == 0.0
@@ -172,8 +176,8 @@
 
 
 def test_little_is_held_of_a_budget_that_runs_low():
-    """Guards against a loss of power that takes what the callers of the last seconds
-    would have had."""
+    """Guards against a power loss that takes the tokens for a budget's last seconds of
+    demand."""
     demand = make_demand(rate=2_000)
     plenty = make_budget(free=MILLION, others_rate=10_000)
     most = compute_target(plenty, make_balance(0), demand, 100.0)
@@ -196,7 +200,8 @@
 
 
 def test_low_budget_does_not_cost_a_write_per_request():
-    """Guards against keepers that hold so little that each request asks for more."""
+    """Guards against primary relays that hold so little that each request draws
+    more."""
     demand = make_demand(rate=2_000)
     low = make_budget(60_000, others_rate=10_000)
     target = compute_target(low, make_balance(0), demand, 100.0)
@@ -206,8 +211,8 @@
 
 
 def test_demand_of_the_first_second_does_not_lower_the_target():
-    """Guards against a start that holds nothing, as others' first callers seem to use a
-    budget up at once."""
+    """Guards against a relay that holds nothing after the start, because the first
+    requests elsewhere seem to use up the budget at once."""
     demand = Demand()
     demand.record_request(10, now=0.0)
     warming_up = make_budget(
@@ -218,15 +223,15 @@
 
 
 def test_grant_with_known_demand_vests_no_faster_than_the_factor():
-    """Guards against a death in or after a cut that takes many seconds of a demand, as
-    the whole grant has opened meanwhile."""
+    """Guards against a crash in or after an outage that costs many seconds of demand,
+    because the whole grant has vested meanwhile."""
     demand = make_demand(rate=4000)
     terms = plan_vesting(make_budget(free=MILLION // 2), 275_000, demand, 100.0)
     assert terms.rate <= VESTING_FACTOR * 4400
 
 
 def test_schedules_without_demand_are_left_out_of_the_rate_of_others():
-    """Guards against quiet holders whose grants make a budget seem soon used up."""
+    """Guards against idle holders whose grants make a budget seem to run out soon."""
     moment = Moment(Boot("b", 0), 0)
     quiet = Grant(24_000, 0, VestingSchedule(0, 2_000, moment))
     busy = Grant(24_000, 4_000, VestingSchedule(0, 8_000, moment))
--- a/knapweedrail/tests/test_relay_ledger.py
+++ b/knapweedrail/tests/test_relay_ledger.py
@@ -1,4 +1,4 @@
-"""Prepaid tokens are never overspent, whatever becomes of writes, loans and relays."""
+"""Prepaid tokens are never overspent, whatever happens to writes, loans and relays."""
 
 import copy
 
@@ -31,7 +31,7 @@
     """A host's clock since its boot, and its time of day.
 
     Args:
-        names_boots: Whether each boot has an identity of its own.
+        has_boot_ids: Whether each boot has an identity of its own.
     """
 
     def __init__(self, has_boot_ids):
@@ -52,14 +52,14 @@
         self.time_of_day += milliseconds
 
     def lose_power(self, up, away):
-        """Start the clock anew; it may show more than it did before."""
+        """Restarts the clock; it may show a later time than before."""
         self.boots += 1
         self.uptime = up
         self.time_of_day += away
 
 
 class Relay:
-    """One life of a relay: its allowance, its view of the ledger, what it was told."""
+    """One incarnation of a relay: its allowance and its view of the ledger."""
 
     def __init__(self, host, incarnation, clock):
         self.holder = name_holder(host, str(incarnation))
@@ -129,7 +129,8 @@
         rate=rates,
     )
     def update(self, host, change, fate, burst, rate):
-        """A write is applied and answered, applied unanswered, late, or not at all."""
+        """A write is applied and answered, applied without an answer, delayed, or
+        lost."""
         relay = self.relays[host]
         spec = encode_account(self.plan(relay, change, burst, rate))
         if fate == "l":
@@ -142,7 +143,8 @@
 
     @rule(host=hosts, change=st.integers(0, 100), burst=bursts, rate=rates)
     def refill(self, host, change, burst, rate):
-        """What mostly happens: the relay looks, writes, and hears that it did."""
+        """The usual case: the relay reads and writes the ledger, and gets the
+        answer."""
         relay = self.relays[host]
         relay.apply_ledger(self.store)
         planned = encode_account(self.plan(relay, change, burst, rate))
@@ -167,7 +169,7 @@
         lender=hosts, borrower=hosts, kept=st.integers(0, 20), delivered=st.booleans()
     )
     def give_back(self, lender, borrower, kept, delivered):
-        """Tokens go back, to whoever; the message may arrive late, and twice."""
+        """Returns tokens to any relay; the message may arrive late, and twice."""
         lender, borrower = self.relays[lender], self.relays[borrower]
         tokens = borrower.allowance.available - kept
         if lender is borrower or tokens <= 0:
@@ -192,7 +194,7 @@
 
     @rule(host=hosts, kept=st.integers(0, 20))
     def spend(self, host, kept):
-        """Spends what there is, but for a little."""
+        """Spends all available tokens but a few."""
         allowance = self.relays[host].allowance
         tokens = allowance.available - kept
         if tokens > 0 and allowance.reserve(tokens):
@@ -201,7 +203,8 @@
 
     @rule(host=hosts, tokens=amounts)
     def start_request(self, host, tokens):
-        """A request that is still under way when the relay ends, and may use all."""
+        """A request that is still running when the relay ends, and may use all its
+        tokens."""
         if self.relays[host].allowance.reserve(tokens):
             self.spent += tokens
 
@@ -231,14 +234,15 @@
 
     @rule()
     def rewrite_without_schedules(self):
-        """A relay that knows of no openings writes the ledger, as it was otherwise."""
+        """A relay of the previous version writes the ledger unchanged, without
+        schedules."""
         spec = copy.deepcopy(self.store.spec)
         spec.pop("openings", None)
         self.store.write(spec, self.store.revision)
 
     @rule(host=hosts, applied=st.booleans(), again=st.booleans())
     def stop_relay(self, host, applied, again):
-        """Gives back what is left, to the ledger; the answer may be lost at first."""
+        """Returns the remaining tokens to the ledger; the first answer may be lost."""
         relay = self.relays[host]
         for _ in range(2 if again else 1):
             planned = relay.ledger.copy()
@@ -256,9 +260,9 @@
             max(0, r.allowance.available) for r in self.relays.values()
         )
         assert self.spent <= PREPAID
-        # What could be spent at once, with no word from the store, fits as well.
+        # Tokens that could be spent at once, without the store, are covered as well.
         assert self.spent + total_available <= PREPAID
-        # And so does what opens later.
+        # And so are tokens that vest later.
         later = sum(max(0, r.allowance.free) for r in self.relays.values())
         assert self.spent + later <= PREPAID
 
@@ -269,7 +273,8 @@
 
     @invariant()
     def reported_spending_is_real(self):
-        """ "Spent" is told to callers: holders must not report each other's twice."""
+        """Callers are told "spent" by these numbers, so no spending may be reported
+        twice."""
         ledger = decode_account(self.store.spec)
         assert sum(grant.spent for grant in ledger.grants.values()) <= self.spent
 
@@ -281,7 +286,7 @@
 
 
 class PrepaidTokensWithoutBootIds(PrepaidTokens):
-    """All boots of a host have one identity, and its time of day tells them apart."""
+    """All boots of a host have one identity; only its time of day tells them apart."""
 
     has_boot_ids = False
 
@@ -293,8 +298,8 @@
 
 
 def test_tokens_lent_by_a_stopped_relay_are_not_reported_as_spent():
-    """A relay that lends to another is restarted. Its borrower still has tokens, and
-    callers must not hear that the budget is spent."""
+    """Guards against a false "spent" after a lender is restarted, while its borrower
+    still has tokens."""
     ledger = AccountLedger(0, {"a/1": Grant(80, 30)})
     release_holder(ledger, "a/1", 20)
     assert ledger.confirmed_used == 30
@@ -302,8 +307,8 @@
 
 
 def test_tokens_of_a_dead_lender_are_returned_to_another_lender():
-    """A relay borrows, its lender dies, and is written off. What the borrower has left
-    goes to the next relay that keeps the account, and serves callers again."""
+    """Guards against tokens that are lost with the lender. It crashes and is written
+    off, and the borrower returns the rest to the next primary relay of the account."""
     first, borrower, second = Allowance("a/1"), Allowance("b/1"), Allowance("c/1")
     ledger = AccountLedger(0, {"a/1": Grant(100, 0)})
     first.apply_ledger(ledger)
@@ -314,7 +319,7 @@
     loan = borrower.borrowed["c/1"]
     second.accept_return("b/1", loan.returned, loan.spent)
     assert second.available == 60
-    # Given back to the ledger, they are free again for all.
+    # Once returned to the ledger, they are free for all relays.
     ledger.grants["c/1"] = Grant(-60, 0)
     second.prepare_write(ledger)
     assert second.available == 0
@@ -322,8 +327,8 @@
 
 
 def test_borrowed_tokens_are_reported_as_spent_once():
-    """A relay spends what it borrowed. Were it reported by lender and borrower both,
-    callers would hear that a budget is spent of which half is left."""
+    """Guards against lender and borrower both reporting the same spending. Callers
+    would be told that a budget is spent of which half is left."""
     lender, borrower = Allowance("a/1"), Allowance("b/1")
     ledger = AccountLedger(0, {"a/1": Grant(100, 0), "b/1": Grant(50, 0)})
     lender.apply_ledger(ledger)
@@ -338,7 +343,7 @@
 
 
 def test_tokens_of_ended_holders_are_counted_separately():
-    """Guards against a refusal whose log doesn't say whether tokens wait for a
+    """Guards against log lines of refusals that don't show whether tokens wait for a
     settlement."""
     ledger = AccountLedger(10, {"a/1": Grant(80, 30), "a/2": Grant(20, 5)})
     assert ledger.count_ended(lambda holder: holder != "a/1") == 50
--- a/knapweedrail/tests/test_relay_ledger_faults.py
+++ b/knapweedrail/tests/test_relay_ledger_faults.py
@@ -1,4 +1,5 @@
-"""Faults planted in the ledger's rules overspend a budget, and the rules don't."""
+"""Faults injected into the ledger's rules overspend a budget; the rules themselves
+don't."""
 
 import attrs
 import pytest
@@ -12,36 +13,36 @@
 
 
 def settle_at_reported_spending(holder, grant, started):
-    """Count only what an ended holder had reported."""
+    """Counts only the spending that an ended holder had reported."""
     evidence = ledgers.Evidence.VESTING
     return ledgers.Settlement(holder, grant.tokens, grant.spent, grant.spent, evidence)
 
 
 def ignore_vesting_rate(holder, grant, started):
-    """Forget what has opened since the last write."""
+    """Ignores the tokens that have vested since the last write."""
     vesting = grant.vesting and attrs.evolve(grant.vesting, rate=0)
     return _settle_grant(holder, attrs.evolve(grant, vesting=vesting), started)
 
 
 def ignore_vesting(self):
-    """Let a holder use its grant before it has opened."""
+    """Lets a holder use its grant before it has vested."""
     return self.free
 
 
 def forget_unconfirmed_schedules(self, planned):
-    """Take a write that wasn't answered for one that had no effect."""
+    """Assumes that an unanswered write had no effect."""
     grant = planned.grants.get(self.holder, ledgers.Grant(0, 0))
     self.withheld = max(self.withheld, self.tokens - grant.tokens)
 
 
 def forget_loans(self):
-    """Leave out of the use of a grant what is lent of it."""
+    """Leaves lent tokens out of the use of a grant."""
     lent = sum(loan.total - loan.returned for loan in self.lent.values())
     return self.tokens - self.withheld - self.free - lent
 
 
 def trust_every_boot(self, other):
-    """Compare the clocks of two boots."""
+    """Compares the clocks of two different boots."""
     return True
 
 
@@ -92,7 +93,7 @@
 
 
 def check_no_overspending(machine, use):
-    """Use tokens at one host, kill it, and spend what is free then."""
+    """Uses tokens at one host, crashes it, and spends what is free then."""
     use(machine)
     machine.crash("a")
     for _ in range(2):
@@ -104,8 +105,9 @@
 @pytest.mark.parametrize("machine", [PrepaidTokens, PrepaidTokensWithoutBootIds])
 @pytest.mark.parametrize("owner, name, fault, use", FAULTS)
 def test_injected_fault_overspends(monkeypatch, machine, owner, name, fault, use):
-    """A host dies that has used part of its grant, and the next life of it takes over
-    what should be left. With one rule broken, more is spent than was prepaid."""
+    """Guards against a state machine that can't detect overspending. A host crashes
+    after using part of its grant, and its next incarnation settles the grant. With one
+    rule broken, more tokens are spent than were prepaid."""
     check_no_overspending(machine(), use)
     monkeypatch.setattr(owner, name, fault)
     with pytest.raises(AssertionError):
--- a/knapweedrail/tests/test_relay_lending.py
+++ b/knapweedrail/tests/test_relay_lending.py
@@ -1,4 +1,4 @@
-"""Relays lend prepaid tokens to each other, over gRPC, before a store in memory."""
+"""Relays lend prepaid tokens to each other, over gRPC, with a store in memory."""
 
 import contextlib
 import itertools
@@ -24,13 +24,13 @@
 ACCOUNT = "farm"
 
 TEST_TIMEOUT_SECONDS = 10.0
-"""Waits of relays in these tests. They ask who has tokens, not how fast: two dozen
-relays share one process here, and on a busy machine the first of them waited longer
-than callers do, and refused."""
+"""Timeout of relays in these tests. They check which relay has tokens, not how fast it
+answers. Two dozen relays share one process here, and under load the first of them
+waited longer than callers do, and refused."""
 
 
 async def ignore(link):
-    """Tell a relay nothing that follows this one."""
+    """Sends nothing to a relay that subscribes to this one."""
 
 
 @pytest.fixture(autouse=True)
@@ -42,7 +42,7 @@
 
 
 class Fleet:
-    """Relays that know of each other, each with a server for the others."""
+    """Relays that know each other, each with a server for the others."""
 
     def __init__(self, prepaid, group):
         self.store = MemoryStore()
@@ -57,7 +57,7 @@
         self._group = group
 
     async def add(self, host, data_centre, life="1", address="127.0.0.1:0"):
-        """Start a relay, or another life of one."""
+        """Starts a relay, or another incarnation of one."""
         member = Member(host, f"{host}/{life}", "", data_centre)
         membership = Membership(self.store, member)
         membership.settled = True
@@ -75,7 +75,7 @@
         return membership.member
 
     async def start(self):
-        """Let all know of all, and begin."""
+        """Makes all relays known to each other, and starts them."""
         members = {m.member.host: m.member for m in self.memberships.values()}
         for membership in self.memberships.values():
             membership._members = dict(members)
@@ -93,7 +93,7 @@
         return await self.holdings[host].reserve(self.account, tokens)
 
     def find_primary(self, data_centre):
-        """Return the host that keeps the account for a data centre."""
+        """Returns the primary relay of the account in a data centre."""
         for host, membership in self.memberships.items():
             here = membership.member.data_centre == data_centre
             if here and membership.keeps(ACCOUNT):
@@ -114,7 +114,7 @@
 
 @contextlib.asynccontextmanager
 async def run_fleet(prepaid, *counts):
-    """Run so many relays in each data centre."""
+    """Runs the given number of relays in each data centre."""
     async with anyio.create_task_group() as group:
         fleet = Fleet(prepaid, group)
         for number, count in enumerate(counts):
@@ -127,10 +127,10 @@
 
 
 async def test_many_relays_share_a_small_budget():
-    """Twenty-four relays see one request each of an account that has little more than
-    they need. With a holding of its own at each relay, the first ones would have taken
-    what the last ones' callers need, and these would hear that tokens are out of
-    reach; each relay would also write the ledger for itself."""
+    """Guards against each relay drawing tokens of its own. Twenty-four relays get one
+    request each of an account with little more than they need. The first relays would
+    have taken the tokens that the last ones need, whose callers would be refused as out
+    of reach; and each relay would write the ledger."""
     async with run_fleet(32_000, 8, 8, 8) as fleet:
         for host in fleet.holdings:
             found = await fleet.reserve(host, 1000)
@@ -143,8 +143,8 @@
 
 
 async def test_idle_relay_returns_borrowed_tokens():
-    """One relay had large requests that used little, and then none any more. A caller
-    at another relay needs nearly all that is left, and must get it."""
+    """Guards against borrowed tokens that stay at a relay whose large requests used
+    little and then ended. A request elsewhere needs nearly all that is left."""
     async with run_fleet(10_000, 3) as fleet:
         first, second = fleet.list_others("dc-0")
         found = await fleet.reserve(first, 6000)
@@ -159,8 +159,8 @@
 
 
 async def test_next_relay_lends_if_the_primary_is_dead():
-    """The relay that keeps an account is killed. Callers at the others of its data
-    centre are served all the same, after one call that fails."""
+    """Guards against refusals in a data centre whose primary relay was killed. Requests
+    at the others succeed after one failing call."""
     async with run_fleet(100_000, 3) as fleet:
         await fleet.servers[fleet.find_primary("dc-0")].close()
         for host in fleet.list_others("dc-0"):
@@ -168,9 +168,8 @@
 
 
 async def test_borrowers_are_served_while_the_store_is_unavailable():
-    """The store is down for some seconds. Callers at every relay are served out of what
-    was drawn before; who finds nothing left hears that the budget is out of reach, not
-    that it is spent."""
+    """Guards against refusals at borrowers while the store is down for some seconds,
+    and against "spent" as the reason when no tokens are left within reach."""
     async with run_fleet(100_000, 3, 3) as fleet:
         for host in fleet.holdings:
             (await fleet.reserve(host, 500)).settle(500)
@@ -182,9 +181,9 @@
 
 
 async def test_restarted_lender_accepts_no_return_for_its_previous_incarnation():
-    """A relay gives tokens back to its lender, which has been restarted at the same
-    address meanwhile. The former life may have spent what the message speaks of, and
-    the new one would spend it a second time."""
+    """Guards against tokens that are spent twice. A borrower returns tokens to a lender
+    that was restarted at the same address; the previous incarnation may have spent
+    them."""
     async with run_fleet(10_000, 1) as fleet:
         (holdings,) = fleet.holdings.values()
         before = holdings.read_available(ACCOUNT)
@@ -200,13 +199,13 @@
 
 
 async def test_loan_of_a_lost_answer_is_recovered():
-    """A lender's answer is lost on its way. The tokens are out of use at the lender;
-    without another question they would be so until the borrower's next shortage."""
+    """Guards against tokens that stay out of use at the lender after its answer was
+    lost, until the borrower's next shortage."""
     async with run_fleet(10_000, 2) as fleet:
         (borrower,) = fleet.list_others("dc-0")
         lender = fleet.holdings[fleet.find_primary("dc-0")]
         holdings = fleet.holdings[borrower]
-        # What the lender sent, and the borrower never saw.
+        # The lender's answer, which the borrower never received.
         await lender.answer_trade(
             Trade(
                 account=ACCOUNT,
@@ -225,8 +224,8 @@
 
 
 async def test_borrowing_relay_reports_a_spent_budget():
-    """All of a budget is used. A caller at a relay that doesn't draw on the ledger
-    hears so as well, and doesn't come back for nothing."""
+    """Guards against callers that retry in vain at a relay that doesn't draw on the
+    ledger, after the budget is spent."""
     async with run_fleet(1000, 3) as fleet:
         first, second = fleet.list_others("dc-0")
         (await fleet.reserve(first, 1000)).settle(1000)
@@ -236,8 +235,9 @@
 
 
 def test_lender_order_is_consistent_and_stable():
-    """Relays that chose different lenders would each draw on the ledger. One that comes
-    or goes must not move accounts that it doesn't keep."""
+    """Guards against relays that choose different lenders, which would each draw on the
+    ledger. A relay that joins or leaves must not move accounts for which it isn't
+    primary."""
     members = [Member(f"h-{n}", f"h-{n}/1", f"a:{n}", f"dc-{n % 3}") for n in range(30)]
     for account in map(str, range(50)):
         asked = order_lenders(account, members, "dc-0", "none/1")
@@ -249,9 +249,9 @@
 
 
 async def test_tokens_returned_to_the_ledger_are_found_by_other_relays():
-    """One relay holds all of a budget, and gives it back to the ledger. A relay of
-    another data centre had seen the ledger empty; its callers would be refused for as
-    long as it went by that."""
+    """Guards against refusals by an old view of the ledger. One relay holds all of a
+    budget and returns it, after a relay of another data centre has seen the ledger
+    empty."""
     async with run_fleet(10_000, 1, 1) as fleet:
         first = fleet.holdings["h-0-0"]
         (await fleet.reserve("h-1-0", 10)).settle(10)
@@ -269,8 +269,9 @@
 
 
 async def test_store_that_resets_connections_is_called_rarely():
-    """The store ends each connection as soon as something is written. Every request
-    that finds too few tokens would call it over and over, and wait for that."""
+    """Guards against a storm of calls to a store that resets each connection on the
+    first write. Every request that finds too few tokens would call it again and again,
+    and wait."""
     async with run_fleet(100_000, 1) as fleet:
         (await fleet.reserve("h-0-0", 10)).settle(10)
         fleet.store.fates = ["drop"] * 500
@@ -280,9 +281,9 @@
 
 
 def test_refill_pauses_of_relays_drift_apart():
-    """All hosts get their power back at once. Relays that keep the same account would
-    write its ledger at the same moment in every second from then on, and each write
-    but one be made again."""
+    """Guards against relays that refill in step after all hosts regain power. The
+    primary relays of an account would write its ledger at the same moment every second,
+    and all writes but one would conflict."""
     refills = []
     for seed in range(4):
         rng = random.Random(seed)
@@ -294,7 +295,7 @@
             )
         )
     first = refills[0]
-    # A write takes some milliseconds; looks as near as that are few.
+    # A write takes some milliseconds; few refills are as close as that.
     near = sum(
         abs(a - b) < 0.02 for others in refills[1:] for a in first for b in others
     )
@@ -303,8 +304,8 @@
 
 
 async def test_loan_for_a_timed_out_request_is_returned():
-    """A caller's time to wait for tokens is over while a lender is asked. The lender
-    has put them out of use, and would keep them so for the rest of the day."""
+    """Guards against tokens that stay out of use at the lender for the rest of the day,
+    because the request that needed them timed out before the lender answered."""
     async with run_fleet(10_000, 2) as fleet:
         (borrower,) = fleet.list_others("dc-0")
         lender = fleet.holdings[fleet.find_primary("dc-0")]
@@ -324,8 +325,8 @@
 
 
 def test_relay_list_traffic_is_bounded():
-    """Five hundred relays list each other. At the pause of six, the lists would take
-    all that a host may use for control."""
+    """Guards against relay lists that use up a host's bandwidth for control traffic:
+    five hundred relays would do so at the interval used by six."""
     entry_bytes, most_bytes = 231, 23_000
     for relays in (6, 89, 500, 2000):
         assert relays * entry_bytes / compute_pause(relays) < most_bytes / 4
@@ -333,8 +334,8 @@
 
 
 async def test_primary_relay_changes_as_relays_join():
-    """Relays come, and the one that kept all accounts goes on drawing for some that
-    others draw for as well: more writes to their ledgers than these bear."""
+    """Guards against a relay that stays primary for accounts after other relays have
+    joined and draw for them as well; their ledgers can't bear that many writes."""
     store = MemoryStore()
     membership = Membership(store, Member("h-0", "h-0.1", "", "dc"))
     membership.settled = True
--- a/knapweedrail/tests/test_relay_power_loss.py
+++ b/knapweedrail/tests/test_relay_power_loss.py
@@ -1,4 +1,4 @@
-"""Accounts that run low keep serving their callers after all hosts lost power."""
+"""Accounts that run low keep serving their callers after a power loss of all hosts."""
 
 import random
 
@@ -20,18 +20,18 @@
 RECOVERY_SECONDS = 12.0
 SERVED_SHARE = 0.25
 LOST_SHARE = 0.03
-"""Part of a budget from which on callers are owed nothing more."""
+"""Share of a budget from which on callers are owed nothing more."""
 
 
 def make_budgets(seconds):
-    """Return budgets that last so long at the mean demand."""
+    """Returns budgets that last for some seconds at the mean demand."""
     tokens = sum((k.prompt + k.output * 2 / 3) * k.per_second for k in KINDS)
     whole = sum(WEIGHTS.values())
     return {name: int(tokens * seconds * w / whole) for name, w in WEIGHTS.items()}
 
 
 def run_scenario(budget_seconds, seed, scenario):
-    """Play a scenario with a fleet whose budgets last so many seconds."""
+    """Runs a scenario with a fleet whose budgets last for some seconds."""
 
     async def run(clock):
         random.seed(seed)
@@ -83,8 +83,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_direct_draw_is_settled_by_the_next_incarnation(seed):
-    """Guards against tokens that stay out of reach, since the host that drew them keeps
-    the account no more after its restart."""
+    """Guards against tokens that stay out of reach, because the host that drew them
+    isn't primary for the account after its restart."""
 
     async def scenario(fleet):
         account = next(iter(WEIGHTS))
--- a/knapweedrail/tests/test_relay_recovery.py
+++ b/knapweedrail/tests/test_relay_recovery.py
@@ -1,4 +1,4 @@
-"""What a dead relay didn't use comes back to its account, and no more than that."""
+"""Unused tokens of a dead relay return to its account, and no more than those."""
 
 import anyio
 import attrs
@@ -25,9 +25,9 @@
     """A host's clock that a test moves.
 
     Args:
-        identity: Of the boot.
-        at: Milliseconds since the boot.
-        day: Unix milliseconds.
+        identity: Identity of the boot.
+        uptime: Milliseconds since the boot.
+        time_of_day: Unix milliseconds.
     """
 
     def __init__(self, identity="boot-1", uptime=60_000, time_of_day=1_000_000):
@@ -45,7 +45,7 @@
         self.time_of_day += milliseconds
 
     def restart(self):
-        """Return the clock as the next process of this host finds it."""
+        """Returns the clock as the next process on this host finds it."""
         return ScriptedClock(self.identity, self.uptime, self.time_of_day)
 
 
@@ -84,18 +84,19 @@
         await self.holdings.start(group)
 
     async def kill(self):
-        """End the relay without a word."""
+        """Ends the relay without any notice."""
         await self.holdings.close()
 
     async def use(self, tokens):
-        """Have a caller use tokens; return what it was given."""
+        """Uses tokens for a request; returns its reservation or the shortage."""
         found = await self.holdings.reserve(self.account, tokens)
         if isinstance(found, Reservation):
             found.settle(tokens)
         return found
 
     async def use_up(self, tokens):
-        """Use so many at a time until a caller is refused; return the sum, and why."""
+        """Uses tokens until a request is refused; returns their sum, and the
+        shortage."""
         used = 0
         while isinstance(found := await self.use(tokens), Reservation):
             used += tokens
@@ -122,8 +123,8 @@
 
 
 async def test_unused_tokens_of_a_killed_relay_serve_callers():
-    """A relay holds many tokens and is killed after it used few of them. Its callers
-    come back to the next process there, and would be refused to the end of the day
+    """Guards against tokens that are lost until the end of the day when a relay that
+    holds many of them is killed. Callers of the next process there would be refused
     though most of their budget was never used."""
 
     async def scenario(group, store, hosts):
@@ -141,7 +142,8 @@
 
 
 async def test_repeated_crashes_lose_few_tokens():
-    """A relay is killed, and its successor too before it has served many."""
+    """Guards against losses when a relay is killed, and its successor too after few
+    requests."""
 
     async def scenario(group, store, hosts):
         host, used = hosts[0], 0
@@ -159,8 +161,8 @@
 
 
 async def test_crash_of_all_relays_leaves_most_of_the_budget():
-    """All relays of a fleet are killed at one moment. Each one's successor settles its
-    grant, and what nobody used serves callers again."""
+    """Guards against losses when all relays of a fleet are killed at once. Each
+    successor settles its host's grant, and unused tokens serve callers again."""
 
     async def scenario(group, store, hosts):
         used = 0
@@ -183,8 +185,10 @@
 
 
 async def test_relay_killed_in_an_outage_leaves_unvested_tokens():
-    """The store is away, a relay serves out of what it holds and is killed meanwhile.
-    The longer it was cut off the more it may have used, and no more is lost."""
+    """Guards against losing a whole grant when a relay serves from its tokens in an
+    outage of the store, and is killed meanwhile. The loss grows with the length of the
+    outage, as the relay may have used what has vested, and no more than that is
+    lost."""
 
     async def scenario(group, store, hosts):
         host = hosts[0]
@@ -214,11 +218,12 @@
         ScriptedClock("", uptime=61_000, time_of_day=1_001_000),
         ScriptedClock("boot-1", uptime=1_000, time_of_day=941_000),
     ],
-    ids=["another boot", "set back", "nameless", "clock went back"],
+    ids=["another boot", "restored snapshot", "no identity", "clock went back"],
 )
 async def test_grant_counts_as_used_if_the_boot_is_uncertain(clock):
-    """A host loses power, or is set back to a snapshot. How long the relay lived on
-    after its last write isn't known, so all that it held counts as used."""
+    """Guards against tokens that are spent twice after a host loses power or is
+    restored from a snapshot. It isn't known how long the relay ran after its last
+    write, so its whole grant counts as used."""
 
     async def scenario(group, store, hosts):
         host = hosts[0]
@@ -235,8 +240,9 @@
 
 
 async def test_time_of_day_step_loses_no_tokens_after_a_rewrite():
-    """The time of day is set on a host, and its relay is killed some seconds later. By
-    the time of day alone it would look as if the host had started anew meanwhile."""
+    """Guards against losses when the time of day is set on a host and its relay is
+    killed seconds later. By the time of day alone the host would seem to have
+    rebooted."""
 
     async def scenario(group, store, hosts):
         host = hosts[0]
@@ -258,8 +264,9 @@
 
 
 async def test_relay_starting_with_the_fleet_keeps_its_initial_tokens():
-    """A day begins, and an account is asked for at one host first. At the others its
-    first callers may meet a cut, and find what was held for them all the same."""
+    """Guards against a relay that gives up its initial tokens, at the start of a day,
+    because an account's first requests come to another host. Its own first requests may
+    come in an outage."""
 
     async def scenario(group, store, hosts):
         first, second = hosts
@@ -280,9 +287,10 @@
 
 
 async def test_idle_account_costs_no_writes(monkeypatch):
-    """Hundreds of thousands of accounts are quiet at any time, and each keeper looks at
-    all of its own once a second. Were their grants written anew as they open, the store
-    would have no calls left for those that are asked for."""
+    """Guards against writes for idle accounts. There are hundreds of thousands of them
+    at any time, and each primary relay checks its own once a second. If their grants
+    were rewritten as they vest, the store would have no calls left for active
+    accounts."""
 
     monkeypatch.setattr(holdings_module, "REFILL_INTERVAL_SECONDS", 0.05)
 
@@ -294,15 +302,16 @@
         for _ in range(20):
             host.clock.advance(60_000)
             await anyio.sleep(0.1)
-        # What callers asked for last is given back as it is forgotten.
+        # Tokens held for the last requests are returned as their demand decays.
         assert store.writes <= written + 2
 
     await run_hosts(1, scenario)
 
 
 async def test_grant_of_the_previous_version_counts_as_used():
-    """While a new version is rolled out, relays of the one before write grants that
-    don't tell how they open; their holders may have used all of them."""
+    """Guards against overspending during a rollout. Relays of the previous version
+    write grants without a vesting schedule, and their holders may have used all of
+    them."""
 
     async def scenario(group, store, hosts):
         host = hosts[0]
@@ -329,8 +338,9 @@
     [None, [], [1, 2, 3], ["1", 2, 3, "b", 4], [1, -2, 3, "b", 4], {"tokens": 0}],
 )
 async def test_invalid_schedule_counts_as_fully_vested(invalid):
-    """Another writer spoils how a grant opens. The rest of the ledger is read, and the
-    grant counts as used when its holder is gone."""
+    """Guards against an unreadable ledger when another writer corrupts a vesting
+    schedule. The rest of the ledger is read, and the grant counts as used once its
+    holder has ended."""
 
     async def scenario(group, store, hosts):
         host = hosts[0]
@@ -348,8 +358,9 @@
 
 
 async def test_relay_restarted_under_traffic_holds_no_initial_tokens():
-    """Hosts die in series. What each holds of every account before anybody has asked
-    there would be lost at each death, to the end of the day."""
+    """Guards against losses in a series of crashes. Tokens held for every account
+    before its first request there would be lost at each crash, until the end of the
+    day."""
 
     async def scenario(group, store, hosts):
         first, second = hosts
--- a/knapweedrail/tests/test_relay_successors.py
+++ b/knapweedrail/tests/test_relay_successors.py
@@ -1,4 +1,4 @@
-"""Runners that start anew while the relay can't hear of it."""
+"""Runners that restart while the relay can't reach the store."""
 
 import anyio
 import attrs
@@ -50,7 +50,8 @@
 
 
 async def send_requests(configuration, restarted):
-    """Return the status of a request sent after the first one met another runner."""
+    """Returns the status of a request sent after the first one reached another
+    runner."""
     runner = ScriptedRunner(restarted.respond)
     async with run_relay(configuration, runner) as relay:
         first = await relay.call()
@@ -62,9 +63,9 @@
 
 
 async def test_restarted_runner_gets_requests_before_it_is_listed():
-    """All relays are cut off from the store while two of five engines crash. They are
-    back seconds later under new names at their old addresses, and nobody sends them
-    anything until the cut ends: plans wait at the three that are left."""
+    """Guards against idle runners in an outage of the store. Two of five engines crash
+    and are back seconds later under new names at their old addresses, but no relay
+    sends them anything until the outage ends, and prompts wait at the other three."""
     status, runner, _ = await send_requests(make_engines(), RestartedRunner())
     assert status == 200
     assert any(head.startswith("GET /report ") for head in runner.heads)
@@ -72,22 +73,23 @@
 
 @pytest.mark.parametrize("report", [b"", b"[]", b'{"kvTotal":0}', b'{"kvTotal":"x"}'])
 async def test_runner_without_an_engine_report_gets_no_requests(report):
-    """An engine has crashed for good, and its address went to a booking service. A
-    plan sent there would be run by the wrong service."""
+    """Guards against requests run by the wrong service. An engine has crashed for good,
+    and its address was given to a runner of another kind."""
     status, *_ = await send_requests(make_engines(), RestartedRunner(report))
     assert status == 503
 
 
 async def test_refused_report_is_ignored():
-    """A plain service refuses the question, as it names no request."""
+    """A plain service refuses the report request, as it names no request identity."""
     restarted = RestartedRunner(report_status=400)
     status, *_ = await send_requests(make_engines(), restarted)
     assert status == 503
 
 
 async def test_report_is_not_requested_with_two_engine_endpoints():
-    """Both endpoints' runners would report an engine's memory. The address may have
-    passed from one to the other, and only the list can tell."""
+    """Guards against requests sent to the wrong endpoint. Runners of both would report
+    an engine's memory, the address may have passed from one to the other, and only the
+    store's list can tell."""
     configuration = make_engines(attrs.evolve(ENGINE, name="other"))
     status, runner, _ = await send_requests(configuration, RestartedRunner())
     assert status == 503
@@ -103,7 +105,8 @@
 
 
 async def report_other_incarnation(known_started, reported_started):
-    """Return what became of ``i-9``, known elsewhere, when it answers for ``i-0``."""
+    """Returns the entry of ``i-9``, known at another address, after it answers for
+    ``i-0``."""
     restarted = RestartedRunner(make_report(reported_started))
     runner = ScriptedRunner(restarted.respond)
     async with run_relay(make_engines(), runner) as relay:
@@ -118,16 +121,18 @@
 
 
 async def test_runner_restarted_at_another_address_is_found_by_its_report():
-    """Two engines crash in a cut, and one of them starts again at the other's address,
-    under its own name. It idles until the list can be read, as its name is known."""
+    """Guards against a runner that stays idle until the list can be read, because its
+    name is already known. Two engines crash in an outage, and one restarts at the
+    other's address."""
     found, address = await report_other_incarnation(OLD, NEW)
     assert (found.started, found.address) == (NEW, address)
 
 
 @pytest.mark.parametrize("reported", [OLD, OLD - 1])
 async def test_report_of_an_earlier_incarnation_is_ignored(reported):
-    """The report was on its way as the runner ended, and its next life is listed at
-    another address already. Requests would go to where nobody listens."""
+    """Guards against requests sent to an address where no runner listens. The report
+    was in flight when the runner ended, and its next incarnation is already listed
+    elsewhere."""
     found, address = await report_other_incarnation(OLD, reported)
     assert (found.started, found.address) == (OLD, "127.0.0.1:1")
 
@@ -149,9 +154,8 @@
 
 
 def test_unlisted_successor_is_removed_after_a_list():
-    """A runner was found in another's place and then crashed for good, all in one cut.
-    The list has no entry of it; sending it requests any longer would cost each of them
-    an attempt."""
+    """Guards against failing attempts at a runner that replaced another one and then
+    crashed for good, all in one outage. The list has no entry for it."""
     table = RunnerTable(doubt=1.9)
     make_presumed(table)
     assert list_names(table, 30.0) == ["i-9"]
@@ -178,9 +182,9 @@
 
 
 async def test_identity_mismatch_does_not_use_up_the_only_attempt():
-    """Route by route, a call may be sent to one runner. The one chosen has crashed and
-    another life answers at its address. The call has reached nobody who would run it,
-    and the next runner has room, but its caller was refused."""
+    """Guards against a refusal on a route with a single attempt. The chosen runner has
+    crashed and another incarnation answers at its address, so no runner has run the
+    request, and the next runner has room."""
     route = make_route(Repetition.ONCE, max_runners=1)
     restarted = ScriptedRunner(RestartedRunner().respond)
     healthy = ScriptedRunner(answer_well)
@@ -195,7 +199,8 @@
 
 
 async def test_rejection_uses_up_the_only_attempt():
-    """It got the call and turned it away; the operator allows one runner."""
+    """The runner received the request and rejected it, and the route allows one
+    runner."""
 
     async def reject(stream, head):
         executed = {"Knapweedrail-Not-Executed": "1"}
@@ -210,8 +215,9 @@
 
 
 def test_late_mismatch_does_not_remove_a_restarted_runner():
-    """A runner has started again at another address, and its former address went to
-    another one. Word of that comes late, and must not end the life that is listed."""
+    """Guards against removing a listed incarnation by a late report. The runner has
+    restarted at another address, and its previous address was given to another
+    runner."""
     table = RunnerTable(doubt=1.9)
     table.set_runner(make_runner("i-0", started=OLD))
     ended = table.find_runner("i-0").life
