--- a/knapweedrail/relay/accounts.py
+++ b/knapweedrail/relay/accounts.py
@@ -152,7 +152,7 @@
         is_primary: bool,
         warming_up: bool,
         now: float,
-        moment: Moment | None = None,
+        boot_time: Moment | None = None,
         started: Moment | None = None,
     ) -> Plan | None:
         """Returns the ledger as it should be, or ``None`` if no change is due.
@@ -168,8 +168,8 @@
                 demand. If the account was in use before this relay started, it holds
                 nothing in advance for that: other relays do, and the tokens would be
                 lost for nothing if the host crashes again soon.
-            moment: Current reading of this host's clock; without it, grants are written
-                without a vesting schedule.
+            boot_time: Current reading of this host's clock; without it, grants are
+                written without a vesting schedule.
             started: Reading at the start of this relay.
         """
         prepaid = account.prepaid or 0
@@ -203,20 +203,20 @@
             change
             or settled
             or stale
-            or self._needs_new_schedule(budget, terms, moment)
+            or self._needs_new_schedule(budget, terms, boot_time)
         )
         if entered and not due:
             return None
         vesting = None
-        if moment is not None:
+        if boot_time is not None:
             used = self.allowance.used
-            vesting = VestingSchedule(used + terms.burst, terms.rate, moment)
+            vesting = VestingSchedule(used + terms.burst, terms.rate, boot_time)
         tokens = grant.tokens + change
         ledger.grants[self.holder] = Grant(tokens, grant.spent, vesting)
         return Plan(ledger, change, settled, prepaid, budget.free)
 
     def _needs_new_schedule(
-        self, budget: BudgetView, terms: VestingTerms, moment: Moment | None
+        self, budget: BudgetView, terms: VestingTerms, boot_time: Moment | None
     ) -> bool:
         """Returns whether the grant needs a new vesting schedule.
 
@@ -226,9 +226,9 @@
         would be taken for that of another boot.
         """
         allowance = self.allowance
-        if not allowance.schedules or moment is None:
+        if not allowance.schedules or boot_time is None:
             return False
-        if not moment.boot.is_same(allowance.schedules[-1].since.boot):
+        if not boot_time.boot.is_same(allowance.schedules[-1].since.boot):
             return True
         narrow = allowance.demand.unmet > allowance.available < allowance.free
         disbursed_since = allowance.disbursed - self.disbursed_at_write
--- a/knapweedrail/relay/draws.py
+++ b/knapweedrail/relay/draws.py
@@ -115,7 +115,7 @@
         """Returns the accounts that have a budget."""
         configuration = self._read_configuration()
         accounts = (configuration.accounts if configuration else None) or {}
-        return [one for one in accounts.values() if one.prepaid is not None]
+        return [account for account in accounts.values() if account.prepaid is not None]
 
     def find_account(self, name: str) -> Account | None:
         """Returns an account of the configuration in force, or ``None``."""
@@ -237,14 +237,16 @@
         if self.store_unavailable or time.monotonic() - last_at < PEEK_AGE_SECONDS:
             return True
         began_at = time.monotonic()
-        found = await self._store.peek(LEDGER_KIND, holding.name)
-        if isinstance(found, Unavailable):
-            self._record_outcome(found, time.monotonic() - began_at)
+        peeked = await self._store.peek(LEDGER_KIND, holding.name)
+        if isinstance(peeked, Unavailable):
+            self._record_outcome(peeked, time.monotonic() - began_at)
             return False
         now = time.monotonic()
         holding.peeked_at = now
-        if isinstance(found, StoredObject) and found.revision > (holding.revision or 0):
-            self._apply_stored(holding, found)
+        if isinstance(peeked, StoredObject) and peeked.revision > (
+            holding.revision or 0
+        ):
+            self._apply_stored(holding, peeked)
             # The peeked ledger may be seconds old.
             holding.seen_at = now - FRESH_SECONDS
         return True
@@ -291,19 +293,19 @@
         )
 
     def _log_settled(self, holding: AccountHolding, plan: Plan) -> None:
-        for one in plan.settled:
+        for settlement in plan.settled:
             log_event(
                 Event.GRANT_SETTLED,
                 account=holding.name,
-                holder=one.holder,
-                granted=one.tokens,
-                spent=one.spent,
-                written_off=one.written_off,
-                returned=one.returned,
-                evidence=one.evidence.value,
-                opened=one.vesting.tokens if one.vesting else None,
-                rate=one.vesting.rate if one.vesting else None,
-                elapsed=one.elapsed,
+                holder=settlement.holder,
+                granted=settlement.tokens,
+                spent=settlement.spent,
+                written_off=settlement.written_off,
+                returned=settlement.returned,
+                evidence=settlement.evidence.value,
+                opened=settlement.vesting.tokens if settlement.vesting else None,
+                rate=settlement.vesting.rate if settlement.vesting else None,
+                elapsed=settlement.elapsed,
                 revision=holding.revision,
             )
 
--- a/knapweedrail/relay/ledgers.py
+++ b/knapweedrail/relay/ledgers.py
@@ -191,8 +191,8 @@
     used, evidence = grant.tokens, Evidence.OTHER_BOOT
     elapsed = started.measure_since(vesting.since) if started else None
     if elapsed is not None:
-        opened = vesting.count_vested_after(elapsed)
-        used = min(grant.tokens, max(grant.spent, opened))
+        vested = vesting.count_vested_after(elapsed)
+        used = min(grant.tokens, max(grant.spent, vested))
         evidence = Evidence.VESTING
     return Settlement(
         holder, grant.tokens, grant.spent, used, evidence, vesting, elapsed
--- a/knapweedrail/relay/successors.py
+++ b/knapweedrail/relay/successors.py
@@ -119,12 +119,12 @@
         return [one.name for one in endpoints if one.cache_tokens] == [endpoint]
 
     async def _fetch_report(self, mismatch: IdentityMismatch) -> RunnerReport | None:
-        life, address = mismatch.runner.life, mismatch.runner.address
+        incarnation, address = mismatch.runner.life, mismatch.runner.address
         connection: RunnerConnection | None = None
         try:
             with anyio.move_on_after(REPORT_TIMEOUT_SECONDS):
                 connection = await self._pool.take(
-                    life, address, time.monotonic(), _ignore_connect_time
+                    incarnation, address, time.monotonic(), _ignore_connect_time
                 )
                 return await self._exchange_report(connection, mismatch.name)
         except ConnectionFailed as error:
@@ -137,7 +137,7 @@
         finally:
             if connection is not None:
                 with anyio.CancelScope(shield=True):
-                    await self._pool.drop(life, connection)
+                    await self._pool.drop(incarnation, connection)
         return None
 
     async def _exchange_report(
--- a/knapweedrail/tests/test_relay_grants.py
+++ b/knapweedrail/tests/test_relay_grants.py
@@ -232,9 +232,9 @@
 
 def test_schedules_without_demand_are_left_out_of_the_rate_of_others():
     """Guards against idle holders whose grants make a budget seem to run out soon."""
-    moment = Moment(Boot("b", 0), 0)
-    quiet = Grant(24_000, 0, VestingSchedule(0, 2_000, moment))
-    busy = Grant(24_000, 4_000, VestingSchedule(0, 8_000, moment))
+    boot_time = Moment(Boot("b", 0), 0)
+    quiet = Grant(24_000, 0, VestingSchedule(0, 2_000, boot_time))
+    busy = Grant(24_000, 4_000, VestingSchedule(0, 8_000, boot_time))
     ledger = AccountLedger(0, {"a/1": busy, "b/1": quiet, "c/1": Grant(500, 0)})
     assert estimate_others_rate(ledger, excluding="c/1") == 8_000 / VESTING_FACTOR
     assert estimate_others_rate(ledger, excluding="a/1") == 0.0
--- a/knapweedrail/tests/test_relay_ledger.py
+++ b/knapweedrail/tests/test_relay_ledger.py
@@ -51,11 +51,11 @@
         self.uptime += milliseconds
         self.time_of_day += milliseconds
 
-    def lose_power(self, up, away):
+    def lose_power(self, new_uptime, downtime):
         """Restarts the clock; it may show a later time than before."""
         self.boots += 1
-        self.uptime = up
-        self.time_of_day += away
+        self.uptime = new_uptime
+        self.time_of_day += downtime
 
 
 class Relay:
@@ -115,8 +115,8 @@
         change = max(change, -max(0, relay.allowance.free))
         vesting = None
         if burst is not None:
-            opened = relay.allowance.used + burst
-            vesting = VestingSchedule(opened, rate, relay.clock.read())
+            vested = relay.allowance.used + burst
+            vesting = VestingSchedule(vested, rate, relay.clock.read())
         ledger.grants[relay.holder] = Grant(grant.tokens + change, grant.spent, vesting)
         relay.allowance.prepare_write(ledger)
         return ledger
@@ -124,21 +124,21 @@
     @rule(
         host=hosts,
         change=st.integers(-60, 100),
-        fate=st.sampled_from("alnx"),
+        outcome=st.sampled_from("alnx"),
         burst=bursts,
         rate=rates,
     )
-    def update(self, host, change, fate, burst, rate):
+    def update(self, host, change, outcome, burst, rate):
         """A write is applied and answered, applied without an answer, delayed, or
         lost."""
         relay = self.relays[host]
         spec = encode_account(self.plan(relay, change, burst, rate))
-        if fate == "l":
+        if outcome == "l":
             self.store.delayed.append((spec, relay.revision))
-        elif fate == "a":
+        elif outcome == "a":
             self.store.write(spec, relay.revision)
             relay.apply_ledger(self.store)
-        elif fate == "n":
+        elif outcome == "n":
             self.store.write(spec, relay.revision)
 
     @rule(host=hosts, change=st.integers(0, 100), burst=bursts, rate=rates)
@@ -217,9 +217,9 @@
         for host in HOSTS:
             self.crash(host)
 
-    @rule(host=hosts, up=st.integers(0, 20_000), away=st.integers(0, 3_000))
-    def lose_power(self, host, up, away):
-        self.clocks[host].lose_power(up, away)
+    @rule(host=hosts, new_uptime=st.integers(0, 20_000), downtime=st.integers(0, 3_000))
+    def lose_power(self, host, new_uptime, downtime):
+        self.clocks[host].lose_power(new_uptime, downtime)
         self.crash(host)
 
     @rule(milliseconds=st.integers(1, 4_000))
--- a/knapweedrail/tests/test_relay_ledger_faults.py
+++ b/knapweedrail/tests/test_relay_ledger_faults.py
@@ -74,7 +74,7 @@
     machine.refill("a", 100, burst=0, rate=25)
     machine.advance_clocks(4_000)
     machine.spend("a", kept=0)
-    machine.lose_power("a", up=5_000, away=1_000)
+    machine.lose_power("a", new_uptime=5_000, downtime=1_000)
 
 
 FAULTS = [
--- a/knapweedrail/tests/test_relay_lending.py
+++ b/knapweedrail/tests/test_relay_lending.py
@@ -56,9 +56,9 @@
         self.memberships = {}
         self._group = group
 
-    async def add(self, host, data_centre, life="1", address="127.0.0.1:0"):
+    async def add(self, host, data_centre, incarnation="1", address="127.0.0.1:0"):
         """Starts a relay, or another incarnation of one."""
-        member = Member(host, f"{host}/{life}", "", data_centre)
+        member = Member(host, f"{host}/{incarnation}", "", data_centre)
         membership = Membership(self.store, member)
         membership.settled = True
         neighbours = Neighbours()
@@ -133,9 +133,9 @@
     of reach; and each relay would write the ledger."""
     async with run_fleet(32_000, 8, 8, 8) as fleet:
         for host in fleet.holdings:
-            found = await fleet.reserve(host, 1000)
-            assert isinstance(found, Reservation), host
-            found.settle(1000)
+            result = await fleet.reserve(host, 1000)
+            assert isinstance(result, Reservation), host
+            result.settle(1000)
         assert set(fleet.read_ledger().grants) <= {
             f"{fleet.find_primary(f'dc-{n}')}/1" for n in range(3)
         }
@@ -147,14 +147,14 @@
     little and then ended. A request elsewhere needs nearly all that is left."""
     async with run_fleet(10_000, 3) as fleet:
         first, second = fleet.list_others("dc-0")
-        found = await fleet.reserve(first, 6000)
-        found.settle(100)
+        result = await fleet.reserve(first, 6000)
+        result.settle(100)
         with anyio.fail_after(8):
             while not isinstance(
-                found := await fleet.reserve(second, 9000), Reservation
+                result := await fleet.reserve(second, 9000), Reservation
             ):
                 await anyio.sleep(0.2)
-        found.settle(9000)
+        result.settle(9000)
         assert fleet.holdings[first].read_available(ACCOUNT) < 1000
 
 
@@ -176,8 +176,8 @@
         fleet.store.away = True
         for host in fleet.holdings:
             assert isinstance(await fleet.reserve(host, 500), Reservation), host
-        found = await fleet.reserve("h-0-0", 90_000)
-        assert found in (Shortage.OUT_OF_REACH, Shortage.HELD_ELSEWHERE)
+        result = await fleet.reserve("h-0-0", 90_000)
+        assert result in (Shortage.OUT_OF_REACH, Shortage.HELD_ELSEWHERE)
 
 
 async def test_restarted_lender_accepts_no_return_for_its_previous_incarnation():
@@ -255,11 +255,11 @@
     async with run_fleet(10_000, 1, 1) as fleet:
         first = fleet.holdings["h-0-0"]
         (await fleet.reserve("h-1-0", 10)).settle(10)
-        found = await fleet.reserve("h-0-0", 9000)
-        assert isinstance(found, Reservation)
+        result = await fleet.reserve("h-0-0", 9000)
+        assert isinstance(result, Reservation)
         while isinstance(await fleet.reserve("h-1-0", 3000), Reservation):
             pass
-        found.settle(0)
+        result.settle(0)
         await fleet.servers["h-0-0"].close()
         await first.close()
         await first.release()
@@ -346,5 +346,5 @@
         spec = {"holder": holder, "address": "10.0.0.1:1", "data_centre": "dc"}
         store.put("relay-members", f"h-{number}", spec)
     assert await membership._list(stale=True)
-    kept = [account for account in accounts if membership.keeps(account)]
-    assert 0 < len(kept) < 12
+    primary_accounts = [account for account in accounts if membership.keeps(account)]
+    assert 0 < len(primary_accounts) < 12
--- a/knapweedrail/tests/test_relay_recovery.py
+++ b/knapweedrail/tests/test_relay_recovery.py
@@ -89,20 +89,20 @@
 
     async def use(self, tokens):
         """Uses tokens for a request; returns its reservation or the shortage."""
-        found = await self.holdings.reserve(self.account, tokens)
-        if isinstance(found, Reservation):
-            found.settle(tokens)
-        return found
+        result = await self.holdings.reserve(self.account, tokens)
+        if isinstance(result, Reservation):
+            result.settle(tokens)
+        return result
 
     async def use_up(self, tokens):
         """Uses tokens until a request is refused; returns their sum, and the
         shortage."""
         used = 0
-        while isinstance(found := await self.use(tokens), Reservation):
+        while isinstance(result := await self.use(tokens), Reservation):
             used += tokens
             if used > 2 * PREPAID:
                 break
-        return used, found
+        return used, result
 
 
 def read_ledger(store):
@@ -232,9 +232,9 @@
         granted = read_ledger(store).committed
         await host.kill()
         await host.start(group, clock)
-        used, found = await host.use_up(1000)
+        used, result = await host.use_up(1000)
         assert used <= PREPAID - granted
-        assert found is Shortage.SPENT
+        assert result is Shortage.SPENT
 
     await run_hosts(1, scenario)
 
