--- a/knapweedrail/relay/accounts.py
+++ b/knapweedrail/relay/accounts.py
@@ -6,216 +6,232 @@
 
 from .allowances import Allowance
 from .grants import (
-    OPEN_FACTOR,
-    OPEN_SECONDS,
-    Budget,
-    Pace,
-    is_too_open,
+    MAX_VESTING_SECONDS,
+    VESTING_FACTOR,
+    BudgetView,
+    VestingTerms,
+    is_over_vested,
     plan_change,
-    plan_draw,
-    plan_pace,
+    plan_direct_draw,
+    plan_vesting,
 )
 from .ledgers import (
     AccountLedger,
     Grant,
     Settlement,
-    list_earlier,
-    settle_earlier,
+    list_previous_incarnations,
+    settle_previous_incarnations,
 )
 from .models import Account
-from .openings import Moment, Opening
+from .openings import Moment, VestingSchedule
 
-RECENT_SECONDS = 1.5
-"""How old a view of the ledger may be to refuse by it without looking again."""
+FRESH_SECONDS = 1.5
+"""Largest age of a view of the ledger by which a request may be refused without another
+read."""
 
-CHECK_SECONDS = 6.0
-"""How long looks that may be old, a tenth of a call each, do for that. Of an account
-that is given out, each keeper would else write what it has again and again, to find
-that nobody gave anything back."""
+CONFIRM_SECONDS = 6.0
+"""Seconds for which peeks, which may be stale and cost a tenth of a call, may replace a
+confirmed read. Otherwise each primary relay of a fully granted account would rewrite
+its grant unchanged again and again, only to find that no tokens were returned."""
 
 
 @attrs.frozen
 class Plan:
-    """A change of an account's ledger.
+    """A planned change of an account's ledger.
 
     Attributes:
-        entry: The ledger as it should be.
-        change: By how much the own grant changes.
-        settled: What became of the grants of the host's earlier lives.
-        prepaid: Tokens that the account may use in all.
-        free: Tokens that nobody was granted before it.
+        ledger: The ledger after the change.
+        change: Change of this relay's own grant, tokens.
+        settled: Settled grants of the host's previous incarnations.
+        prepaid: Tokens that the account may use in total.
+        free: Tokens that weren't granted to any relay before the change.
     """
 
-    entry: AccountLedger
+    ledger: AccountLedger
     change: int
     settled: list[Settlement]
     prepaid: int
     free: int
 
 
-def estimate_others(entry: AccountLedger, but: str) -> float:
-    """Return the tokens a second that the callers of all holders but one ask for.
+def estimate_others_rate(ledger: AccountLedger, excluding: str) -> float:
+    """Returns the demand rate at all holders but one, tokens per second.
 
-    A grant opens as fast as its callers may ask, or as a whole in some seconds while
-    its holder doesn't know them; such a rate says nothing of them.
+    A grant vests at a multiple of its demand rate. If the demand isn't known, it vests
+    completely within some seconds instead; such a rate says nothing about demand and is
+    left out.
     """
     rates = [
-        grant.opening.rate
-        for holder, grant in entry.grants.items()
-        if holder != but
-        and grant.opening is not None
-        and grant.opening.rate * OPEN_SECONDS > grant.tokens - grant.spent
+        grant.vesting.rate
+        for holder, grant in ledger.grants.items()
+        if holder != excluding
+        and grant.vesting is not None
+        and grant.vesting.rate * MAX_VESTING_SECONDS > grant.tokens - grant.spent
     ]
-    return sum(rates) / OPEN_FACTOR
+    return sum(rates) / VESTING_FACTOR
 
 
 @attrs.define
-class HeldAccount:
-    """One account, as this relay holds it.
+class AccountHolding:
+    """One account as this relay holds it.
 
     Attributes:
-        entry: Its ledger as last seen.
-        revision: Of the stored object; ``None`` before it was seen.
-        seen_at: When it was last seen, seconds.
-        looked_at: When it was last looked at, by an answer that may be old; seconds.
-        checked_at: When it was last seen for certain, seconds.
-        unreadable_at: When what the store has of it was last found unreadable; it was
-            readable again since if that is before it was seen.
-        refreshing: Whether a change of the ledger is under way.
-        borrowing: Whether other relays are being asked.
-        drawing: Requests for which the ledger is asked, though another relay keeps
-            the account.
-        doubtful: Hosts whose answer to a trade was lost; they may have lent.
-        given_out: Tokens that it had given out when its grant was last written.
-        fresh: Whether nothing of the account was used when its ledger was first seen.
-        reminded: When hosts were last reminded of what their earlier lives hold, by
-            holder; seconds.
+        ledger: Its ledger as last seen.
+        revision: Revision of the stored object; ``None`` before it was first seen.
+        seen_at: Time at which that view was current, seconds.
+        peeked_at: Time of the last peek, whose answer may be stale; seconds.
+        confirmed_at: Time of the last write attempt that showed the current ledger,
+            seconds.
+        unreadable_at: Time at which the stored ledger was last found unreadable,
+            seconds. If it is before `seen_at`, the ledger has been readable since.
+        refreshing: Whether an update of the ledger is in progress.
+        borrowing: Whether a request to other relays is in progress.
+        pending_draws: Number of requests that wait for a draw on the ledger, including
+            those at a relay that isn't primary for the account.
+        unconfirmed_hosts: Hosts that haven't answered the last trade; they may have
+            lent tokens.
+        disbursed_at_write: Tokens disbursed when the grant was last written.
+        unused_at_first_read: Whether no tokens of the account were used when its ledger
+            was first read.
+        prompted_at: When hosts were last prompted to settle a previous incarnation,
+            seconds, by holder.
     """
 
     name: str
     allowance: Allowance
-    entry: AccountLedger = attrs.field(factory=AccountLedger)
+    ledger: AccountLedger = attrs.field(factory=AccountLedger)
     revision: int | None = None
     seen_at: float = float("-inf")
-    looked_at: float = float("-inf")
-    checked_at: float = float("-inf")
+    peeked_at: float = float("-inf")
+    confirmed_at: float = float("-inf")
     unreadable_at: float = float("-inf")
     refreshing: bool = False
     borrowing: bool = False
-    drawing: int = 0
-    doubtful: set[str] = attrs.field(factory=set)
-    given_out: int = 0
-    fresh: bool = True
-    reminded: dict[str, float] = attrs.field(factory=dict)
+    pending_draws: int = 0
+    unconfirmed_hosts: set[str] = attrs.field(factory=set)
+    disbursed_at_write: int = 0
+    unused_at_first_read: bool = True
+    prompted_at: dict[str, float] = attrs.field(factory=dict)
 
     @property
     def holder(self) -> str:
         """The holder that this relay is."""
         return self.allowance.holder
 
-    def is_unreadable(self, now: float, recent: float) -> bool:
-        """Return whether its ledger couldn't be read when it was last looked at.
+    def is_unreadable(self, now: float, max_age: float) -> bool:
+        """Returns whether the ledger was unreadable at the last read.
 
         Args:
-            recent: Age up to which that look will do, seconds.
+            max_age: Age up to which that read counts, seconds.
         """
-        return self.unreadable_at > self.seen_at and now - self.unreadable_at < recent
+        return self.unreadable_at > self.seen_at and now - self.unreadable_at < max_age
 
-    def is_recent(self, now: float) -> bool:
-        """Return whether a sure look would hardly bring more than is known."""
-        if now - self.seen_at < RECENT_SECONDS:
+    def is_fresh(self, now: float) -> bool:
+        """Returns whether a confirmed read would hardly show anything new."""
+        if now - self.seen_at < FRESH_SECONDS:
             return True
-        looked = now - self.looked_at < RECENT_SECONDS
-        return looked and now - self.checked_at < CHECK_SECONDS
+        recently_peeked = now - self.peeked_at < FRESH_SECONDS
+        return recently_peeked and now - self.confirmed_at < CONFIRM_SECONDS
 
-    def learn(self, entry: AccountLedger, revision: int, now: float) -> None:
-        """Take over the ledger as it is stored."""
+    def apply_ledger(self, ledger: AccountLedger, revision: int, now: float) -> None:
+        """Replaces the view by the ledger as it is stored."""
         if self.revision is None:
-            self.fresh = not entry.surely_used
-        self.entry = entry
+            self.unused_at_first_read = not ledger.confirmed_used
+        self.ledger = ledger
         self.revision = revision
         self.seen_at = now
-        openings = self.allowance.openings
-        self.allowance.learn(entry)
-        if self.allowance.openings != openings:
-            self.given_out = self.allowance.given_out
+        schedules = self.allowance.schedules
+        self.allowance.apply_ledger(ledger)
+        if self.allowance.schedules != schedules:
+            self.disbursed_at_write = self.allowance.disbursed
 
     def plan(
         self,
         account: Account,
-        keepers: int,
-        keeps: bool,
-        starting: bool,
+        primaries: int,
+        is_primary: bool,
+        warming_up: bool,
         now: float,
-        moment: Moment | None = None,
+        boot_time: Moment | None = None,
         started: Moment | None = None,
     ) -> Plan | None:
-        """Return the ledger as it should be, or ``None`` if it will do as it is.
+        """Returns the ledger as it should be, or ``None`` if no change is due.
 
-        While requests wait for tokens, a view that isn't recent is written again
-        unchanged: the condition fails if others gave tokens back, and brings what is
-        there.
+        While requests wait for tokens, a view that isn't fresh is written again
+        unchanged: the condition of the write fails if other relays returned tokens, and
+        the reply carries the current ledger.
 
         Args:
-            keepers: Number of relays that keep an account.
-            keeps: Whether this one does.
-            starting: Whether it has seen too little traffic to know the demand. In the
-                middle of a day it holds nothing ahead for that: others do, and what a
-                host holds that dies again soon would be lost for nobody.
-            moment: The present one on this host's clock; without it grants are open as
-                a whole.
-            started: That at which this relay's life began.
+            primaries: Number of primary relays of an account.
+            is_primary: Whether this relay is one of them.
+            warming_up: Whether this relay has had too little traffic to know its
+                demand. If the account was in use before this relay started, it holds
+                nothing in advance for that: other relays do, and the tokens would be
+                lost for nothing if the host crashes again soon.
+            boot_time: Current reading of this host's clock; without it, grants are
+                written without a vesting schedule.
+            started: Reading at the start of this relay.
         """
         prepaid = account.prepaid or 0
-        known = self.holder in self.entry.grants
+        known = self.holder in self.ledger.grants
         demand = self.allowance.demand
-        draws = bool(keeps or known or self.drawing)
-        if not (draws or list_earlier(self.entry, self.holder)):
+        is_drawing = bool(is_primary or known or self.pending_draws)
+        if not (is_drawing or list_previous_incarnations(self.ledger, self.holder)):
             return None
-        entry = self.entry.copy()
-        settled = settle_earlier(entry, self.holder, started)
-        if not draws:
-            return Plan(entry, 0, settled, prepaid, prepaid - entry.committed)
-        grant = self.allowance.record(entry)
-        budget = Budget(
+        ledger = self.ledger.copy()
+        settled = settle_previous_incarnations(ledger, self.holder, started)
+        if not is_drawing:
+            return Plan(ledger, 0, settled, prepaid, prepaid - ledger.committed)
+        grant = self.allowance.record_spent(ledger)
+        budget = BudgetView(
             prepaid=prepaid,
-            free=prepaid - entry.committed,
-            held=entry.count_held(but=self.holder),
-            others_rate=estimate_others(entry, self.holder),
-            keepers=max(1, keepers),
-            starting=starting and self.fresh,
+            free=prepaid - ledger.committed,
+            held=ledger.count_held(excluding=self.holder),
+            others_rate=estimate_others_rate(ledger, self.holder),
+            primaries=max(1, primaries),
+            warming_up=warming_up and self.unused_at_first_read,
         )
-        if keeps:
+        if is_primary:
             change = plan_change(budget, self.allowance.position, demand, now)
         else:
-            change = plan_draw(budget.free, self.allowance.free, demand, now)
-        entered = known or not keeps
-        stale = self.drawing and not self.is_recent(now)
+            change = plan_direct_draw(budget.free, self.allowance.free, demand, now)
+        entered = known or not is_primary
+        stale = self.pending_draws and not self.is_fresh(now)
         free = max(0, self.allowance.free + change)
-        pace = plan_pace(budget, free, demand, now)
-        due = change or settled or stale or self._must_open(budget, pace, moment)
+        terms = plan_vesting(budget, free, demand, now)
+        due = (
+            change
+            or settled
+            or stale
+            or self._needs_new_schedule(budget, terms, boot_time)
+        )
         if entered and not due:
             return None
-        opening = None
-        if moment is not None:
+        vesting = None
+        if boot_time is not None:
             used = self.allowance.used
-            opening = Opening(used + pace.burst, pace.rate, moment)
+            vesting = VestingSchedule(used + terms.burst, terms.rate, boot_time)
         tokens = grant.tokens + change
-        entry.grants[self.holder] = Grant(tokens, grant.spent, opening)
-        return Plan(entry, change, settled, prepaid, budget.free)
-
-    def _must_open(self, budget: Budget, pace: Pace, moment: Moment | None) -> bool:
-        """Return whether its grant should open anew.
-
-        Wider, as requests wait; or narrower, as much of it would be lost with this
-        relay; or from another moment, as the time of day was set and the one that the
-        ledger has would be taken for one of another boot.
+        ledger.grants[self.holder] = Grant(tokens, grant.spent, vesting)
+        return Plan(ledger, change, settled, prepaid, budget.free)
+
+    def _needs_new_schedule(
+        self, budget: BudgetView, terms: VestingTerms, boot_time: Moment | None
+    ) -> bool:
+        """Returns whether the grant needs a new vesting schedule.
+
+        It does in three cases. Requests wait while tokens of the grant haven't vested.
+        Or so many vested tokens are unused that a crash of this relay would lose too
+        much. Or the time of day was set, so that the start of the boot in the ledger
+        would be taken for that of another boot.
         """
         allowance = self.allowance
-        if not allowance.openings or moment is None:
+        if not allowance.schedules or boot_time is None:
             return False
-        if not moment.boot.is_same(allowance.openings[-1].since.boot):
+        if not boot_time.boot.is_same(allowance.schedules[-1].since.boot):
             return True
         narrow = allowance.demand.unmet > allowance.available < allowance.free
-        passed = allowance.given_out - self.given_out
-        return narrow or is_too_open(budget, allowance.available, pace, passed)
+        disbursed_since = allowance.disbursed - self.disbursed_at_write
+        return narrow or is_over_vested(
+            budget, allowance.available, terms, disbursed_since
+        )
--- a/knapweedrail/relay/ledgers.py
+++ b/knapweedrail/relay/ledgers.py
@@ -1,17 +1,18 @@
 """The ledger of prepaid tokens: what each holder was granted, and what is used.
 
-Pure. One object of the platform's store holds one account, and every change is a
-conditional update of it. What is used and all grants together never exceed what was
-prepaid, so no order of events lets holders overspend: tokens come into the hands of
-relays by grants alone, and from then on are only lent, given back and spent.
-
-A holder is one life of a relay process. What an ended holder was granted stays granted
-until the next life of the same host settles it: what can have been used counts as used,
-and the rest is free again. How much that is, the grant's opening tells.
-
-The ledger knows nothing of what holders lend to each other. A relay may give back to
-one that didn't lend to it, when its lender is gone; a grant is therefore a net figure,
-and may fall below 0 where a holder has given the ledger more than it had from there.
+Pure. One object of the platform's store holds the ledger of one account, and every
+change is a conditional update of it. Used tokens plus all grants never exceed the
+prepaid tokens, so no order of events can overspend a budget: relays get tokens by
+grants alone, and from then on tokens are only lent, returned and spent.
+
+A holder is one incarnation of a relay process. The grant of an ended holder stays in
+the ledger until the next incarnation on the same host settles it: tokens that may have
+been used count as used, and the rest is free again. The grant's vesting schedule bounds
+what may have been used.
+
+The ledger doesn't record loans between holders. A relay whose lender is gone may return
+tokens to another relay. A grant is therefore a net figure, and may be negative if a
+holder has returned more to the ledger than it drew from it.
 """
 
 from __future__ import annotations
@@ -22,48 +23,49 @@
 
 import attrs
 
-from .openings import Moment, Opening, decode_opening, encode_opening
+from .openings import Moment, VestingSchedule, decode_schedule, encode_schedule
 
-MOST_TOKENS = 2**53
-"""Largest number of tokens; up to there every parser of JSON reads it exactly."""
+MAX_TOKENS = 2**53
+"""Largest number of tokens. JSON parsers represent integers exactly up to it."""
 
 
 @attrs.frozen
 class Grant:
-    """What one holder has of one account.
+    """Grant of one account to one holder.
 
     Attributes:
-        tokens: Granted in all, less what it gave back.
-        spent: Spent of it, as the holder last reported; it may be more by now.
-        opening: How much of it the holder may have used by when; ``None`` if it may
-            have used all at any time.
+        tokens: Tokens granted in total, less those returned.
+        spent: Tokens spent of it as last reported by the holder; the real figure may be
+            higher.
+        vesting: Bounds what the holder may have used by when; ``None`` if it may have
+            used everything at any time.
     """
 
     tokens: int
     spent: int
-    opening: Opening | None = None
+    vesting: VestingSchedule | None = None
 
 
 class Evidence(enum.Enum):
-    """What is known of how much an ended holder has used."""
+    """Basis on which the use of an ended holder is determined."""
 
-    OPENING = "its grant opened with time, on this boot's clock"
-    NO_OPENING = "its grant was open as a whole"
+    VESTING = "its grant opened with time, on this boot's clock"
+    NO_VESTING = "its grant was open as a whole"
     OTHER_BOOT = "the host may have started anew since"
 
 
 @attrs.frozen
 class Settlement:
-    """What became of the grant of an ended holder.
+    """Result of settling the grant of an ended holder.
 
     Attributes:
-        tokens: Of the grant.
-        spent: Reported as spent.
-        used: Counted as used from now on.
-        evidence: What that rests on.
-        opening: How its grant opened, as last written.
-        elapsed: Milliseconds from then until the holder had ended at the latest, if
-            that is known.
+        tokens: Tokens of the grant.
+        spent: Tokens reported as spent.
+        used: Tokens that count as used from now on.
+        evidence: Basis of that number.
+        vesting: Vesting schedule of the grant as last written.
+        elapsed: Milliseconds from that write to the latest time at which the holder can
+            have ended; ``None`` if unknown.
     """
 
     holder: str
@@ -71,12 +73,12 @@
     spent: int
     used: int
     evidence: Evidence
-    opening: Opening | None = None
+    vesting: VestingSchedule | None = None
     elapsed: int | None = None
 
     @property
-    def lost(self) -> int:
-        """Tokens that count as used beyond what was reported."""
+    def written_off(self) -> int:
+        """Tokens that count as used without having been reported as spent."""
         return max(0, self.used - self.spent)
 
     @property
@@ -87,10 +89,10 @@
 
 @attrs.define
 class AccountLedger:
-    """One account.
+    """Ledger of one account.
 
     Attributes:
-        used: Tokens used by holders that are over.
+        used: Tokens used by holders that have ended.
         grants: Grants by holder.
     """
 
@@ -99,29 +101,33 @@
 
     @property
     def committed(self) -> int:
-        """Tokens used, or granted to somebody."""
+        """Tokens that are used or granted."""
         return self.used + sum(grant.tokens for grant in self.grants.values())
 
     @property
-    def surely_used(self) -> int:
-        """Tokens that are used for certain."""
+    def confirmed_used(self) -> int:
+        """Tokens that are known to be used."""
         return self.used + sum(
             min(grant.spent, grant.tokens) for grant in self.grants.values()
         )
 
-    def count_held(self, but: str) -> int:
-        """Return the tokens that holders other than one have not reported as spent."""
+    def count_held(self, excluding: str) -> int:
+        """Returns the tokens that all holders but one have not reported as spent.
+
+        Args:
+            excluding: The holder to leave out.
+        """
         return sum(
             max(0, grant.tokens - grant.spent)
             for holder, grant in self.grants.items()
-            if holder != but
+            if holder != excluding
         )
 
     def count_ended(self, is_present: Callable[[str], bool]) -> int:
-        """Return the tokens that holders which are gone have not reported as spent.
+        """Returns the tokens that ended holders have not reported as spent.
 
         Args:
-            is_present: Returns whether a holder is still there.
+            is_present: Returns whether a holder is still running.
         """
         return sum(
             max(0, grant.tokens - grant.spent)
@@ -130,146 +136,147 @@
         )
 
     def copy(self) -> AccountLedger:
-        """Return a copy that can be changed by itself."""
+        """Returns an independent copy."""
         return AccountLedger(self.used, dict(self.grants))
 
 
-def name_holder(host: str, life: str) -> str:
-    """Return the name of a holder.
+def name_holder(host: str, incarnation: str) -> str:
+    """Returns the name of a holder.
 
     Args:
         host: Name of the host, the same after a restart.
-        life: Unique to the process.
+        incarnation: Unique to the process.
     """
-    return f"{host}/{life}"
+    return f"{host}/{incarnation}"
 
 
 def get_host(holder: str) -> str:
-    """Return the name of a holder's host."""
+    """Returns the name of a holder's host."""
     return holder.rpartition("/")[0]
 
 
-def list_earlier(account: AccountLedger, holder: str) -> list[str]:
-    """Return the earlier lives of a holder's host that have a grant."""
+def list_previous_incarnations(ledger: AccountLedger, holder: str) -> list[str]:
+    """Returns the previous incarnations on a holder's host that still have a grant."""
     host = get_host(holder)
-    return [
-        name for name in account.grants if name != holder and get_host(name) == host
-    ]
+    return [name for name in ledger.grants if name != holder and get_host(name) == host]
 
 
-def settle_earlier(
-    account: AccountLedger, holder: str, started: Moment | None = None
+def settle_previous_incarnations(
+    ledger: AccountLedger, holder: str, started: Moment | None = None
 ) -> list[Settlement]:
-    """Settle what earlier lives of a holder's host left.
+    """Settles the grants of previous incarnations on a holder's host.
 
-    A host runs one process of a role, so an earlier life of the host is over.
+    A host runs one process per role, so previous incarnations have ended.
 
     Args:
-        started: When the holder's own life began, by which the others had ended;
-            ``None`` if that isn't known.
+        started: When the holder itself started, by which time the others had ended;
+            ``None`` if unknown.
+
+    Returns:
+        One settlement for each previous incarnation.
     """
     settled = []
-    for name in list_earlier(account, holder):
-        settlement = _settle(name, account.grants.pop(name), started)
-        account.used += settlement.used
+    for name in list_previous_incarnations(ledger, holder):
+        settlement = _settle_grant(name, ledger.grants.pop(name), started)
+        ledger.used += settlement.used
         settled.append(settlement)
     return settled
 
 
-def _settle(holder: str, grant: Grant, started: Moment | None) -> Settlement:
-    opening = grant.opening
-    if opening is None:
-        evidence = Evidence.NO_OPENING
+def _settle_grant(holder: str, grant: Grant, started: Moment | None) -> Settlement:
+    vesting = grant.vesting
+    if vesting is None:
+        evidence = Evidence.NO_VESTING
         return Settlement(holder, grant.tokens, grant.spent, grant.tokens, evidence)
     used, evidence = grant.tokens, Evidence.OTHER_BOOT
-    elapsed = started.measure_since(opening.since) if started else None
+    elapsed = started.measure_since(vesting.since) if started else None
     if elapsed is not None:
-        opened = opening.count_after(elapsed)
-        used = min(grant.tokens, max(grant.spent, opened))
-        evidence = Evidence.OPENING
+        vested = vesting.count_vested_after(elapsed)
+        used = min(grant.tokens, max(grant.spent, vested))
+        evidence = Evidence.VESTING
     return Settlement(
-        holder, grant.tokens, grant.spent, used, evidence, opening, elapsed
+        holder, grant.tokens, grant.spent, used, evidence, vesting, elapsed
     )
 
 
-def release_holder(account: AccountLedger, holder: str, returned: int) -> None:
-    """Take back what a holder has left that spends nothing any more.
+def release_holder(ledger: AccountLedger, holder: str, returned: int) -> None:
+    """Ends the grant of a holder that spends nothing any more.
 
-    What others still have of it stays granted: they may spend it yet, so it must not
-    count as surely used.
+    Tokens that it has lent stay granted. Their borrowers may still spend them, so they
+    must not count as used for certain.
 
     Args:
-        returned: What it has left.
+        returned: Tokens that it has left.
     """
-    grant = account.grants.pop(holder, Grant(0, 0))
+    grant = ledger.grants.pop(holder, Grant(0, 0))
     left = grant.tokens - returned
     if left > grant.spent:
-        account.grants[holder] = Grant(left, grant.spent)
+        ledger.grants[holder] = Grant(left, grant.spent)
     else:
-        account.used += left
+        ledger.used += left
 
 
-def encode_account(account: AccountLedger) -> dict[str, Any]:
-    """Return an account's ledger as it is stored."""
+def encode_account(ledger: AccountLedger) -> dict[str, Any]:
+    """Returns an account's ledger in its stored form."""
     grants = {
-        holder: [grant.tokens, grant.spent] for holder, grant in account.grants.items()
+        holder: [grant.tokens, grant.spent] for holder, grant in ledger.grants.items()
     }
-    # Apart from the grants, so that relays of the version before can read these.
-    openings = {
-        holder: encode_opening(grant.opening)
-        for holder, grant in account.grants.items()
-        if grant.opening is not None
+    # Kept apart from the grants, so that relays of the previous version can read those.
+    schedules = {
+        holder: encode_schedule(grant.vesting)
+        for holder, grant in ledger.grants.items()
+        if grant.vesting is not None
     }
-    return {"used": account.used, "grants": grants, "openings": openings}
+    return {"used": ledger.used, "grants": grants, "openings": schedules}
 
 
 def decode_account(spec: Any) -> AccountLedger:
-    """Decode an account's stored ledger.
+    """Decodes the stored ledger of an account.
 
     Raises:
-        ValueError: If it doesn't have the form that `encode_account` gives, or less
-            than nothing was given out by it.
+        ValueError: If it doesn't have the form that `encode_ledger` gives, or its
+            committed tokens are negative.
     """
     try:
-        openings = spec.get("openings")
-        openings = openings if isinstance(openings, dict) else {}
+        schedules = spec.get("openings")
+        schedules = schedules if isinstance(schedules, dict) else {}
         grants = {
-            _take_holder(holder): Grant(
-                _take_whole(tokens),
-                _take_spent(spent),
-                decode_opening(openings.get(holder)),
+            _parse_holder(holder): Grant(
+                _parse_tokens(tokens),
+                _parse_spent(spent),
+                decode_schedule(schedules.get(holder)),
             )
             for holder, (tokens, spent) in spec["grants"].items()
         }
-        account = AccountLedger(_take_whole(spec["used"]), grants)
+        ledger = AccountLedger(_parse_tokens(spec["used"]), grants)
     except (AttributeError, KeyError, TypeError, ValueError) as error:
-        raise ValueError(f"not an account's ledger: {error!r:.200}") from error
-    if account.committed < 0:
-        raise ValueError(f"a ledger that has given out {account.committed:.3g}")
-    return account
+        raise ValueError(f"invalid account ledger: {error!r:.200}") from error
+    if ledger.committed < 0:
+        raise ValueError(f"committed tokens are negative: {ledger.committed:.3g}")
+    return ledger
 
 
-def _take_holder(value: Any) -> str:
+def _parse_holder(value: Any) -> str:
     if not (isinstance(value, str) and "/" in value):
-        raise ValueError(f"no holder: {value!r:.50}")
+        raise ValueError(f"invalid holder name: {value!r:.50}")
     return value
 
 
-def _take_whole(value: Any) -> int:
-    """Return a number of tokens; nothing is converted.
+def _parse_tokens(value: Any) -> int:
+    """Returns a number of tokens without any conversion.
 
-    What goes wrong otherwise: a number cut off at its point, a truth value or one in a
-    text counts as fewer tokens than were granted, and the rest is granted once more.
+    A truncated float, a boolean or a numeric string would count as fewer tokens than
+    were granted, and the difference would be granted a second time.
     """
     if isinstance(value, bool) or not isinstance(value, int):
-        raise ValueError(f"no number of tokens: {value!r:.50}")
-    if abs(value) > MOST_TOKENS:
-        raise ValueError("more tokens than any account has")
+        raise ValueError(f"token count is not an integer: {value!r:.50}")
+    if abs(value) > MAX_TOKENS:
+        raise ValueError("token count exceeds 2**53")
     return value
 
 
-def _take_spent(value: Any) -> int:
-    spent = _take_whole(value)
+def _parse_spent(value: Any) -> int:
+    spent = _parse_tokens(value)
     if spent < 0:
-        raise ValueError(f"spent {spent}")
+        raise ValueError(f"spent tokens are negative: {spent}")
     return spent
--- a/knapweedrail/tests/test_relay_lending.py
+++ b/knapweedrail/tests/test_relay_lending.py
@@ -1,4 +1,4 @@
-"""Relays lend prepaid tokens to each other, over gRPC, before a store in memory."""
+"""Relays lend prepaid tokens to each other, over gRPC, with a store in memory."""
 
 import contextlib
 import itertools
@@ -11,7 +11,7 @@
 from ..relay import holdings as holdings_module
 from ..relay import neighbours as neighbours_module
 from ..relay.draws import LEDGER_KIND
-from ..relay.holdings import Holdings, draw_pause
+from ..relay.holdings import Holdings, compute_refill_pause
 from ..relay.ledgers import decode_account, name_holder
 from ..relay.members import Membership, compute_pause, order_lenders
 from ..relay.models import Account, Member, Repetition
@@ -23,26 +23,26 @@
 
 ACCOUNT = "farm"
 
-PATIENCE_SECONDS = 10.0
-"""Waits of relays in these tests. They ask who has tokens, not how fast: two dozen
-relays share one process here, and on a busy machine the first of them waited longer
-than callers do, and refused."""
+TEST_TIMEOUT_SECONDS = 10.0
+"""Timeout of relays in these tests. They check which relay has tokens, not how fast it
+answers. Two dozen relays share one process here, and under load the first of them
+waited longer than callers do, and refused."""
 
 
 async def ignore(link):
-    """Tell a relay nothing that follows this one."""
+    """Sends nothing to a relay that subscribes to this one."""
 
 
 @pytest.fixture(autouse=True)
-def be_patient(monkeypatch):
-    monkeypatch.setattr(holdings_module, "WAIT_SECONDS", PATIENCE_SECONDS)
-    monkeypatch.setattr(holdings_module, "LEND_SECONDS", PATIENCE_SECONDS)
-    monkeypatch.setattr(neighbours_module, "LEND_SECONDS", PATIENCE_SECONDS)
-    monkeypatch.setattr(neighbours_module, "CALL_SECONDS", PATIENCE_SECONDS)
+def extend_timeouts(monkeypatch):
+    monkeypatch.setattr(holdings_module, "TOKEN_WAIT_SECONDS", TEST_TIMEOUT_SECONDS)
+    monkeypatch.setattr(holdings_module, "LEND_SECONDS", TEST_TIMEOUT_SECONDS)
+    monkeypatch.setattr(neighbours_module, "LEND_SECONDS", TEST_TIMEOUT_SECONDS)
+    monkeypatch.setattr(neighbours_module, "CALL_SECONDS", TEST_TIMEOUT_SECONDS)
 
 
 class Fleet:
-    """Relays that know of each other, each with a server for the others."""
+    """Relays that know each other, each with a server for the others."""
 
     def __init__(self, prepaid, group):
         self.store = MemoryStore()
@@ -56,9 +56,9 @@
         self.memberships = {}
         self._group = group
 
-    async def add(self, host, data_centre, life="1", address="127.0.0.1:0"):
-        """Start a relay, or another life of one."""
-        member = Member(host, f"{host}/{life}", "", data_centre)
+    async def add(self, host, data_centre, incarnation="1", address="127.0.0.1:0"):
+        """Starts a relay, or another incarnation of one."""
+        member = Member(host, f"{host}/{incarnation}", "", data_centre)
         membership = Membership(self.store, member)
         membership.settled = True
         neighbours = Neighbours()
@@ -75,7 +75,7 @@
         return membership.member
 
     async def start(self):
-        """Let all know of all, and begin."""
+        """Makes all relays known to each other, and starts them."""
         members = {m.member.host: m.member for m in self.memberships.values()}
         for membership in self.memberships.values():
             membership._members = dict(members)
@@ -92,8 +92,8 @@
     async def reserve(self, host, tokens):
         return await self.holdings[host].reserve(self.account, tokens)
 
-    def find_keeper(self, data_centre):
-        """Return the host that keeps the account for a data centre."""
+    def find_primary(self, data_centre):
+        """Returns the primary relay of the account in a data centre."""
         for host, membership in self.memberships.items():
             here = membership.member.data_centre == data_centre
             if here and membership.keeps(ACCOUNT):
@@ -101,11 +101,11 @@
         raise LookupError(data_centre)
 
     def list_others(self, data_centre):
-        keeper = self.find_keeper(data_centre)
+        primary = self.find_primary(data_centre)
         return [
             host
             for host, membership in self.memberships.items()
-            if membership.member.data_centre == data_centre and host != keeper
+            if membership.member.data_centre == data_centre and host != primary
         ]
 
     def read_ledger(self):
@@ -114,7 +114,7 @@
 
 @contextlib.asynccontextmanager
 async def run_fleet(prepaid, *counts):
-    """Run so many relays in each data centre."""
+    """Runs the given number of relays in each data centre."""
     async with anyio.create_task_group() as group:
         fleet = Fleet(prepaid, group)
         for number, count in enumerate(counts):
@@ -126,65 +126,64 @@
         group.cancel_scope.cancel()
 
 
-async def test_many_relays_with_few_requests_each_share_a_small_budget():
-    """Twenty-four relays see one request each of an account that has little more than
-    they need. With a holding of its own at each relay, the first ones would have taken
-    what the last ones' callers need, and these would hear that tokens are out of
-    reach; each relay would also write the ledger for itself."""
+async def test_many_relays_share_a_small_budget():
+    """Guards against each relay drawing tokens of its own. Twenty-four relays get one
+    request each of an account with little more than they need. The first relays would
+    have taken the tokens that the last ones need, whose callers would be refused as out
+    of reach; and each relay would write the ledger."""
     async with run_fleet(32_000, 8, 8, 8) as fleet:
         for host in fleet.holdings:
-            found = await fleet.reserve(host, 1000)
-            assert isinstance(found, Reservation), host
-            found.settle(1000)
+            result = await fleet.reserve(host, 1000)
+            assert isinstance(result, Reservation), host
+            result.settle(1000)
         assert set(fleet.read_ledger().grants) <= {
-            f"{fleet.find_keeper(f'dc-{n}')}/1" for n in range(3)
+            f"{fleet.find_primary(f'dc-{n}')}/1" for n in range(3)
         }
         assert fleet.store.writes <= 30
 
 
-async def test_what_an_idle_relay_borrowed_serves_callers_elsewhere():
-    """One relay had large requests that used little, and then none any more. A caller
-    at another relay needs nearly all that is left, and must get it."""
+async def test_idle_relay_returns_borrowed_tokens():
+    """Guards against borrowed tokens that stay at a relay whose large requests used
+    little and then ended. A request elsewhere needs nearly all that is left."""
     async with run_fleet(10_000, 3) as fleet:
         first, second = fleet.list_others("dc-0")
-        found = await fleet.reserve(first, 6000)
-        found.settle(100)
+        result = await fleet.reserve(first, 6000)
+        result.settle(100)
         with anyio.fail_after(8):
             while not isinstance(
-                found := await fleet.reserve(second, 9000), Reservation
+                result := await fleet.reserve(second, 9000), Reservation
             ):
                 await anyio.sleep(0.2)
-        found.settle(9000)
+        result.settle(9000)
         assert fleet.holdings[first].read_available(ACCOUNT) < 1000
 
 
-async def test_the_next_relay_lends_when_the_first_is_dead():
-    """The relay that keeps an account is killed. Callers at the others of its data
-    centre are served all the same, after one call that fails."""
+async def test_next_relay_lends_if_the_primary_is_dead():
+    """Guards against refusals in a data centre whose primary relay was killed. Requests
+    at the others succeed after one failing call."""
     async with run_fleet(100_000, 3) as fleet:
-        await fleet.servers[fleet.find_keeper("dc-0")].close()
+        await fleet.servers[fleet.find_primary("dc-0")].close()
         for host in fleet.list_others("dc-0"):
             assert isinstance(await fleet.reserve(host, 1000), Reservation)
 
 
-async def test_borrowers_are_served_while_the_store_is_away():
-    """The store is down for some seconds. Callers at every relay are served out of what
-    was drawn before; who finds nothing left hears that the budget is out of reach, not
-    that it is spent."""
+async def test_borrowers_are_served_while_the_store_is_unavailable():
+    """Guards against refusals at borrowers while the store is down for some seconds,
+    and against "spent" as the reason when no tokens are left within reach."""
     async with run_fleet(100_000, 3, 3) as fleet:
         for host in fleet.holdings:
             (await fleet.reserve(host, 500)).settle(500)
         fleet.store.away = True
         for host in fleet.holdings:
             assert isinstance(await fleet.reserve(host, 500), Reservation), host
-        found = await fleet.reserve("h-0-0", 90_000)
-        assert found in (Shortage.OUT_OF_REACH, Shortage.HELD_ELSEWHERE)
+        result = await fleet.reserve("h-0-0", 90_000)
+        assert result in (Shortage.OUT_OF_REACH, Shortage.HELD_ELSEWHERE)
 
 
-async def test_a_restarted_lender_takes_nothing_back_for_its_former_life():
-    """A relay gives tokens back to its lender, which has been restarted at the same
-    address meanwhile. The former life may have spent what the message speaks of, and
-    the new one would spend it a second time."""
+async def test_restarted_lender_accepts_no_return_for_its_previous_incarnation():
+    """Guards against tokens that are spent twice. A borrower returns tokens to a lender
+    that was restarted at the same address; the previous incarnation may have spent
+    them."""
     async with run_fleet(10_000, 1) as fleet:
         (holdings,) = fleet.holdings.values()
         before = holdings.read_available(ACCOUNT)
@@ -199,14 +198,14 @@
         assert holdings.read_available(ACCOUNT) == before + 700
 
 
-async def test_what_was_lent_in_a_lost_answer_is_found_again():
-    """A lender's answer is lost on its way. The tokens are out of use at the lender;
-    without another question they would be so until the borrower's next shortage."""
+async def test_loan_of_a_lost_answer_is_recovered():
+    """Guards against tokens that stay out of use at the lender after its answer was
+    lost, until the borrower's next shortage."""
     async with run_fleet(10_000, 2) as fleet:
         (borrower,) = fleet.list_others("dc-0")
-        lender = fleet.holdings[fleet.find_keeper("dc-0")]
+        lender = fleet.holdings[fleet.find_primary("dc-0")]
         holdings = fleet.holdings[borrower]
-        # What the lender sent, and the borrower never saw.
+        # The lender's answer, which the borrower never received.
         await lender.answer_trade(
             Trade(
                 account=ACCOUNT,
@@ -216,17 +215,17 @@
                 wanted=800,
             )
         )
-        held = holdings._get(ACCOUNT)
-        held.allowance.borrow(lender._holder, 0)
-        held.doubtful.add(fleet.find_keeper("dc-0"))
+        holding = holdings._get(ACCOUNT)
+        holding.allowance.borrow(lender._holder, 0)
+        holding.unconfirmed_hosts.add(fleet.find_primary("dc-0"))
         with anyio.fail_after(5):
-            while held.allowance.borrowed[lender._holder].total < 800:
+            while holding.allowance.borrowed[lender._holder].total < 800:
                 await anyio.sleep(0.1)
 
 
-async def test_a_spent_budget_is_called_spent_at_relays_that_borrow():
-    """All of a budget is used. A caller at a relay that doesn't draw on the ledger
-    hears so as well, and doesn't come back for nothing."""
+async def test_borrowing_relay_reports_a_spent_budget():
+    """Guards against callers that retry in vain at a relay that doesn't draw on the
+    ledger, after the budget is spent."""
     async with run_fleet(1000, 3) as fleet:
         first, second = fleet.list_others("dc-0")
         (await fleet.reserve(first, 1000)).settle(1000)
@@ -235,9 +234,10 @@
                 await anyio.sleep(0.2)
 
 
-def test_lenders_are_chosen_alike_and_change_little():
-    """Relays that chose different lenders would each draw on the ledger. One that comes
-    or goes must not move accounts that it doesn't keep."""
+def test_lender_order_is_consistent_and_stable():
+    """Guards against relays that choose different lenders, which would each draw on the
+    ledger. A relay that joins or leaves must not move accounts for which it isn't
+    primary."""
     members = [Member(f"h-{n}", f"h-{n}/1", f"a:{n}", f"dc-{n % 3}") for n in range(30)]
     for account in map(str, range(50)):
         asked = order_lenders(account, members, "dc-0", "none/1")
@@ -248,18 +248,18 @@
         assert order_lenders(account, fewer, "dc-0", "none/1")[0] == asked[0]
 
 
-async def test_tokens_given_back_to_the_ledger_serve_who_found_none():
-    """One relay holds all of a budget, and gives it back to the ledger. A relay of
-    another data centre had seen the ledger empty; its callers would be refused for as
-    long as it went by that."""
+async def test_tokens_returned_to_the_ledger_are_found_by_other_relays():
+    """Guards against refusals by an old view of the ledger. One relay holds all of a
+    budget and returns it, after a relay of another data centre has seen the ledger
+    empty."""
     async with run_fleet(10_000, 1, 1) as fleet:
         first = fleet.holdings["h-0-0"]
         (await fleet.reserve("h-1-0", 10)).settle(10)
-        found = await fleet.reserve("h-0-0", 9000)
-        assert isinstance(found, Reservation)
+        result = await fleet.reserve("h-0-0", 9000)
+        assert isinstance(result, Reservation)
         while isinstance(await fleet.reserve("h-1-0", 3000), Reservation):
             pass
-        found.settle(0)
+        result.settle(0)
         await fleet.servers["h-0-0"].close()
         await first.close()
         await first.release()
@@ -268,9 +268,10 @@
                 await anyio.sleep(0.2)
 
 
-async def test_a_store_that_resets_every_connection_is_left_alone():
-    """The store ends each connection as soon as something is written. Every request
-    that finds too few tokens would call it over and over, and wait for that."""
+async def test_store_that_resets_connections_is_called_rarely():
+    """Guards against a storm of calls to a store that resets each connection on the
+    first write. Every request that finds too few tokens would call it again and again,
+    and wait."""
     async with run_fleet(100_000, 1) as fleet:
         (await fleet.reserve("h-0-0", 10)).settle(10)
         fleet.store.fates = ["drop"] * 500
@@ -279,29 +280,35 @@
         assert 500 - len(fleet.store.fates) <= 10
 
 
-def test_relays_that_start_together_do_not_look_at_the_same_moments():
-    """All hosts get their power back at once. Relays that keep the same account would
-    write its ledger at the same moment in every second from then on, and each write
-    but one be made again."""
-    looks = []
+def test_refill_pauses_of_relays_drift_apart():
+    """Guards against relays that refill in step after all hosts regain power. The
+    primary relays of an account would write its ledger at the same moment every second,
+    and all writes but one would conflict."""
+    refills = []
     for seed in range(4):
         rng = random.Random(seed)
-        looks.append(
-            list(itertools.accumulate(draw_pause(False, rng) for _ in range(40)))
+        refills.append(
+            list(
+                itertools.accumulate(
+                    compute_refill_pause(False, rng) for _ in range(40)
+                )
+            )
         )
-    first = looks[0]
-    # A write takes some milliseconds; looks as near as that are few.
-    near = sum(abs(a - b) < 0.02 for others in looks[1:] for a in first for b in others)
+    first = refills[0]
+    # A write takes some milliseconds; few refills are as close as that.
+    near = sum(
+        abs(a - b) < 0.02 for others in refills[1:] for a in first for b in others
+    )
     assert near <= 12
     assert 35 < first[-1] < 45
 
 
-async def test_what_was_lent_to_a_request_that_gave_up_waiting_is_found_again():
-    """A caller's time to wait for tokens is over while a lender is asked. The lender
-    has put them out of use, and would keep them so for the rest of the day."""
+async def test_loan_for_a_timed_out_request_is_returned():
+    """Guards against tokens that stay out of use at the lender for the rest of the day,
+    because the request that needed them timed out before the lender answered."""
     async with run_fleet(10_000, 2) as fleet:
         (borrower,) = fleet.list_others("dc-0")
-        lender = fleet.holdings[fleet.find_keeper("dc-0")]
+        lender = fleet.holdings[fleet.find_primary("dc-0")]
         answer_trade = lender.answer_trade
 
         async def answer_late(trade):
@@ -317,18 +324,18 @@
                 await anyio.sleep(0.1)
 
 
-def test_the_list_of_many_relays_leaves_room_on_their_links():
-    """Five hundred relays list each other. At the pause of six, the lists would take
-    all that a host may use for control."""
+def test_relay_list_traffic_is_bounded():
+    """Guards against relay lists that use up a host's bandwidth for control traffic:
+    five hundred relays would do so at the interval used by six."""
     entry_bytes, most_bytes = 231, 23_000
     for relays in (6, 89, 500, 2000):
         assert relays * entry_bytes / compute_pause(relays) < most_bytes / 4
     assert compute_pause(6) == compute_pause(89)
 
 
-async def test_who_keeps_an_account_is_found_anew_when_relays_come():
-    """Relays come, and the one that kept all accounts goes on drawing for some that
-    others draw for as well: more writes to their ledgers than these bear."""
+async def test_primary_relay_changes_as_relays_join():
+    """Guards against a relay that stays primary for accounts after other relays have
+    joined and draw for them as well; their ledgers can't bear that many writes."""
     store = MemoryStore()
     membership = Membership(store, Member("h-0", "h-0.1", "", "dc"))
     membership.settled = True
@@ -339,5 +346,5 @@
         spec = {"holder": holder, "address": "10.0.0.1:1", "data_centre": "dc"}
         store.put("relay-members", f"h-{number}", spec)
     assert await membership._list(stale=True)
-    kept = [account for account in accounts if membership.keeps(account)]
-    assert 0 < len(kept) < 12
+    primary_accounts = [account for account in accounts if membership.keeps(account)]
+    assert 0 < len(primary_accounts) < 12
--- a/knapweedrail/tests/test_relay_successors.py
+++ b/knapweedrail/tests/test_relay_successors.py
@@ -1,4 +1,4 @@
-"""Runners that start anew while the relay can't hear of it."""
+"""Runners that restart while the relay can't reach the store."""
 
 import anyio
 import attrs
@@ -49,8 +49,9 @@
     return attrs.evolve(configuration, endpoints=endpoints)
 
 
-async def call_twice(configuration, restarted):
-    """Return the status of a request sent after the first one met another runner."""
+async def send_requests(configuration, restarted):
+    """Returns the status of a request sent after the first one reached another
+    runner."""
     runner = ScriptedRunner(restarted.respond)
     async with run_relay(configuration, runner) as relay:
         first = await relay.call()
@@ -61,35 +62,36 @@
         return with_next[-1].status, runner, relay
 
 
-async def test_a_runner_that_started_anew_gets_work_though_the_list_lags():
-    """All relays are cut off from the store while two of five engines crash. They are
-    back seconds later under new names at their old addresses, and nobody sends them
-    anything until the cut ends: plans wait at the three that are left."""
-    status, runner, _ = await call_twice(make_engines(), RestartedRunner())
+async def test_restarted_runner_gets_requests_before_it_is_listed():
+    """Guards against idle runners in an outage of the store. Two of five engines crash
+    and are back seconds later under new names at their old addresses, but no relay
+    sends them anything until the outage ends, and prompts wait at the other three."""
+    status, runner, _ = await send_requests(make_engines(), RestartedRunner())
     assert status == 200
     assert any(head.startswith("GET /report ") for head in runner.heads)
 
 
 @pytest.mark.parametrize("report", [b"", b"[]", b'{"kvTotal":0}', b'{"kvTotal":"x"}'])
-async def test_what_reports_no_engine_gets_no_work_of_one(report):
-    """An engine has crashed for good, and its address went to a booking service. A
-    plan sent there would be run by the wrong service."""
-    status, *_ = await call_twice(make_engines(), RestartedRunner(report))
+async def test_runner_without_an_engine_report_gets_no_requests(report):
+    """Guards against requests run by the wrong service. An engine has crashed for good,
+    and its address was given to a runner of another kind."""
+    status, *_ = await send_requests(make_engines(), RestartedRunner(report))
     assert status == 503
 
 
-async def test_a_refused_report_is_none():
-    """A plain service refuses the question, as it names no request."""
+async def test_refused_report_is_ignored():
+    """A plain service refuses the report request, as it names no request identity."""
     restarted = RestartedRunner(report_status=400)
-    status, *_ = await call_twice(make_engines(), restarted)
+    status, *_ = await send_requests(make_engines(), restarted)
     assert status == 503
 
 
-async def test_with_two_endpoints_of_engines_nobody_is_asked():
-    """Both endpoints' runners would report an engine's memory. The address may have
-    passed from one to the other, and only the list can tell."""
+async def test_report_is_not_requested_with_two_engine_endpoints():
+    """Guards against requests sent to the wrong endpoint. Runners of both would report
+    an engine's memory, the address may have passed from one to the other, and only the
+    store's list can tell."""
     configuration = make_engines(attrs.evolve(ENGINE, name="other"))
-    status, runner, _ = await call_twice(configuration, RestartedRunner())
+    status, runner, _ = await send_requests(configuration, RestartedRunner())
     assert status == 503
     assert not any(head.startswith("GET /report ") for head in runner.heads)
 
@@ -102,8 +104,9 @@
     return REPORT[:-1] + b',"born":%d}' % started
 
 
-async def meet_other_life(known_started, reported_started):
-    """Return what became of ``i-9``, known elsewhere, when it answers for ``i-0``."""
+async def report_other_incarnation(known_started, reported_started):
+    """Returns the entry of ``i-9``, known at another address, after it answers for
+    ``i-0``."""
     restarted = RestartedRunner(make_report(reported_started))
     runner = ScriptedRunner(restarted.respond)
     async with run_relay(make_engines(), runner) as relay:
@@ -117,25 +120,27 @@
         return relay.table.find_runner("i-9"), runner.address
 
 
-async def test_a_runner_that_moved_and_started_again_is_found_by_its_report():
-    """Two engines crash in a cut, and one of them starts again at the other's address,
-    under its own name. It idles until the list can be read, as its name is known."""
-    found, address = await meet_other_life(OLD, NEW)
+async def test_runner_restarted_at_another_address_is_found_by_its_report():
+    """Guards against a runner that stays idle until the list can be read, because its
+    name is already known. Two engines crash in an outage, and one restarts at the
+    other's address."""
+    found, address = await report_other_incarnation(OLD, NEW)
     assert (found.started, found.address) == (NEW, address)
 
 
 @pytest.mark.parametrize("reported", [OLD, OLD - 1])
-async def test_a_report_of_no_later_life_changes_nothing(reported):
-    """The report was on its way as the runner ended, and its next life is listed at
-    another address already. Requests would go to where nobody listens."""
-    found, address = await meet_other_life(OLD, reported)
+async def test_report_of_an_earlier_incarnation_is_ignored(reported):
+    """Guards against requests sent to an address where no runner listens. The report
+    was in flight when the runner ended, and its next incarnation is already listed
+    elsewhere."""
+    found, address = await report_other_incarnation(OLD, reported)
     assert (found.started, found.address) == (OLD, "127.0.0.1:1")
 
 
 @pytest.mark.parametrize("started", [b"null", b"true", b'"1"', b"-5", b"1e300"])
-async def test_a_report_whose_start_is_none_is_none(started):
+async def test_report_with_an_invalid_start_is_ignored(started):
     report = REPORT[:-1] + b',"born":' + started + b"}"
-    status, *_ = await call_twice(make_engines(), RestartedRunner(report))
+    status, *_ = await send_requests(make_engines(), RestartedRunner(report))
     assert status == 503
 
 
@@ -148,10 +153,9 @@
     return [view.runner.name for view in table.list_views("e", now)]
 
 
-def test_the_list_decides_once_it_can_be_read():
-    """A runner was found in another's place and then crashed for good, all in one cut.
-    The list has no entry of it; sending it requests any longer would cost each of them
-    an attempt."""
+def test_unlisted_successor_is_removed_after_a_list():
+    """Guards against failing attempts at a runner that replaced another one and then
+    crashed for good, all in one outage. The list has no entry for it."""
     table = RunnerTable(doubt=1.9)
     make_presumed(table)
     assert list_names(table, 30.0) == ["i-9"]
@@ -161,7 +165,7 @@
     assert [runner.name for runner in table.prune(33.0)] == ["i-0", "i-9"]
 
 
-def test_a_successor_that_is_listed_stays():
+def test_listed_successor_stays():
     table = RunnerTable(doubt=1.9)
     make_presumed(table)
     table.note_list(31.0)
@@ -169,7 +173,7 @@
     assert list_names(table, 99.0) == ["i-9"]
 
 
-def test_a_successor_whose_end_is_told_is_gone():
+def test_ended_successor_is_removed():
     table = RunnerTable(doubt=1.9)
     make_presumed(table)
     table.remove_runner("i-9", 20.0)
@@ -177,25 +181,26 @@
     assert list_names(table, 30.0) == []
 
 
-async def test_a_runner_that_is_gone_does_not_use_up_the_only_attempt():
-    """Route by route, a call may be sent to one runner. The one chosen has crashed and
-    another life answers at its address. The call has reached nobody who would run it,
-    and the next runner has room, but its caller was refused."""
+async def test_identity_mismatch_does_not_use_up_the_only_attempt():
+    """Guards against a refusal on a route with a single attempt. The chosen runner has
+    crashed and another incarnation answers at its address, so no runner has run the
+    request, and the next runner has room."""
     route = make_route(Repetition.ONCE, max_runners=1)
     restarted = ScriptedRunner(RestartedRunner().respond)
-    sound = ScriptedRunner(answer_well)
-    async with run_relay(make_configuration(route), restarted, sound) as relay:
+    healthy = ScriptedRunner(answer_well)
+    async with run_relay(make_configuration(route), restarted, healthy) as relay:
         answers = [
             await relay.call(knapweedrail_request_id=f"n{number}")
             for number in range(8)
         ]
     assert {answer.status for answer in answers} == {200}
     assert len(restarted.heads) > 0
-    assert len(sound.heads) == len(answers)
+    assert len(healthy.heads) == len(answers)
 
 
-async def test_a_runner_that_is_full_does_use_it_up():
-    """It got the call and turned it away; the operator allows one runner."""
+async def test_rejection_uses_up_the_only_attempt():
+    """The runner received the request and rejected it, and the route allows one
+    runner."""
 
     async def reject(stream, head):
         executed = {"Knapweedrail-Not-Executed": "1"}
@@ -209,9 +214,10 @@
     assert sum(len(runner.heads) for runner in runners) == 1
 
 
-def test_a_runner_that_lives_again_elsewhere_stays_as_its_address_is_taken():
-    """A runner has started again at another address, and its former address went to
-    another one. Word of that comes late, and must not end the life that is listed."""
+def test_late_mismatch_does_not_remove_a_restarted_runner():
+    """Guards against removing a listed incarnation by a late report. The runner has
+    restarted at another address, and its previous address was given to another
+    runner."""
     table = RunnerTable(doubt=1.9)
     table.set_runner(make_runner("i-0", started=OLD))
     ended = table.find_runner("i-0").life
