--- a/knapweedrail/relay/calls.py
+++ b/knapweedrail/relay/calls.py
@@ -13,19 +13,19 @@
 from ..limits import LimitNews
 from .codecs import Codec
 from .connections import ConnectionPool
-from .deliveries import Delivery
-from .headers import UnreadHeaders
 from .measures import RelayMeasures
 from .models import CallerRequest, Endpoint, Route, Runner, RunnerAnswer
 from .pressure import Pressure
+from .response_writer import ResponseWriter
 from .retries import RetryShare
-from .routes import Ranks
+from .routes import Priorities
 from .runners import RunnerTable
 from .streams import StreamProgress
 from .suspects import Suspects
+from .unknown_headers import UnknownHeaderLog
 
 
-class Failure(enum.Enum):
+class FailureKind(enum.Enum):
     """What became of an attempt at a runner that gave no answer to pass on."""
 
     NOT_SENT = "no byte was sent"
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Failed:
+class AttemptFailed:
     """An attempt failed.
 
     Attributes:
@@ -46,7 +46,7 @@
         runner: Name of the runner.
     """
 
-    failure: Failure
+    kind: FailureKind
     detail: str
     answer: RunnerAnswer | None = None
     body: bytes = b""
@@ -82,11 +82,11 @@
     count_relays: Callable[[], int]
     note_successor: Callable[[Runner, str], None]
     tell_limit: Callable[[LimitNews], None] = lambda news: None
-    unread: UnreadHeaders = attrs.field(factory=UnreadHeaders)
+    unknown_headers: UnknownHeaderLog = attrs.field(factory=UnknownHeaderLog)
 
 
 @attrs.define(kw_only=True)
-class Call:
+class RequestContext:
     """One admitted request, and how far it has come.
 
     Attributes:
@@ -110,14 +110,14 @@
     route: Route
     endpoint: Endpoint
     account: str | None
-    ranks: Ranks
+    priorities: Priorities
     fingerprint: str
-    ends_at: float
-    delivery: Delivery
+    deadline_at: float
+    response: ResponseWriter
     progress: StreamProgress
-    arrivals: int = 0
+    counted_attempts: int = 0
     may_have_run: bool = False
 
-    def measure_left(self) -> float:
+    def get_remaining_seconds(self) -> float:
         """Return the seconds that are left."""
-        return self.ends_at - time.monotonic()
+        return self.deadline_at - time.monotonic()
--- a/knapweedrail/relay/gateway.py
+++ b/knapweedrail/relay/gateway.py
@@ -10,25 +10,25 @@
 
 from ..events import Event, log_event
 from ..outcomes import Ran, Refusal, RefusalKind
-from .bodies import CallerGone, Receive, receive_body
-from .calls import Answered, Call, Services
+from .calls import Answered, RequestContext, Services
 from .closings import Closing, took_its_time
-from .deliveries import Delivery, Send
-from .exchanges import Broken, Exchange, draw_retry
+from .exchanges import Broken, RequestForwarder, draw_retry_after
 from .followers import ConfigurationFollower
 from .holdings import Holdings
 from .models import Account, CallerRequest, Malformed, Route
 from .refusals import (
-    QUARANTINED_SECONDS,
-    STATUSES,
-    TOKENS_SECONDS,
+    HTTP_STATUSES,
+    OUT_OF_REACH_RETRY_AFTER_SECONDS,
+    QUARANTINE_RETRY_AFTER_SECONDS,
     refuse,
-    refuse_bad,
-    refuse_busy,
-    refuse_ended,
+    refuse_malformed,
+    refuse_overloaded,
+    refuse_stopped,
     refuse_unknown,
 )
+from .request_bodies import CallerDisconnected, Receive, receive_body
 from .reservations import Reservation, Shortage
+from .response_writer import ResponseWriter, Send
 from .routes import RouteTable, choose_endpoint
 from .streams import StreamProgress
 from .suspects import make_fingerprint
@@ -77,10 +77,10 @@
             return
         self.under_way += 1
         self.last_request_at = time.monotonic()
-        delivery = Delivery(send, self._ends_connections)
+        response = ResponseWriter(send, self._should_close_connections)
         try:
-            await self._answer(scope, receive, delivery)
-        except CallerGone:
+            await self._handle_request(scope, receive, response)
+        except CallerDisconnected:
             log_event(Event.CALLER_GONE, path=scope["path"])
         except Exception as error:
             # The server closes the connection; the caller can't take that for an
@@ -89,17 +89,19 @@
             raise
         except anyio.get_cancelled_exc_class():
             # The server ends it, before it was admitted or while it hands bytes on.
-            if not delivery.complete:
+            if not response.complete:
                 log_event(Event.REQUEST_CUT_OFF, path=scope["path"])
             raise
         finally:
             self.under_way -= 1
 
-    def _ends_connections(self) -> bool:
+    def _should_close_connections(self) -> bool:
         """Return whether callers should open their next connection, elsewhere."""
         return self.closing.begun or self._services.pressure.is_out(time.monotonic())
 
-    async def _answer(self, scope: dict, receive: Receive, delivery: Delivery) -> None:
+    async def _handle_request(
+        self, scope: dict, receive: Receive, response: ResponseWriter
+    ) -> None:
         arrived_at = time.monotonic()
         request = self._services.codec.decode_request(
             scope["method"], scope["raw_path"], scope["query_string"], scope["headers"]
@@ -107,37 +109,41 @@
         if isinstance(request, Malformed):
             # Nobody can say where a malformed request ends: what follows it on the
             # connection may be its body, and must not be run as a request.
-            delivery.close_after()
-            await self._refuse(delivery, "", refuse_bad(request.reason))
+            response.close_connection_after()
+            await self._refuse(response, "", refuse_malformed(request.reason))
             return
         admission = self._admit(request)
         if isinstance(admission, Refusal):
-            await self._refuse(delivery, request.identity, admission)
+            await self._refuse(response, request.identity, admission)
             return
         wait = min(request.deadline or float("inf"), admission.route.timeout)
-        ends_at = arrived_at + wait
+        deadline_at = arrived_at + wait
         table: RouteTable = self._configuration.table  # type: ignore[assignment]
-        most = table.configuration.limits.body_bytes
-        with self.closing.until_end() as end:
-            body = await receive_body(receive, most, ends_at)
-        if end.cancelled_caught:
-            body = refuse_ended(self._services.rng)
+        max_bytes = table.configuration.limits.body_bytes
+        with self.closing.until_end() as shutdown_scope:
+            body = await receive_body(receive, max_bytes, deadline_at)
+        if shutdown_scope.cancelled_caught:
+            body = refuse_stopped(self._services.rng)
         if isinstance(body, Refusal):
-            await self._refuse(delivery, request.identity, body)
+            await self._refuse(response, request.identity, body)
             return
         now = time.monotonic()
-        refusal = self.closing.judge(request, admission.route, now, ends_at)
+        refusal = self.closing.judge(request, admission.route, now, deadline_at)
         if refusal is not None:
-            await self._refuse(delivery, request.identity, refusal)
+            await self._refuse(response, request.identity, refusal)
             return
         if self._services.pressure.refuses(self._services.rng, now):
             # Not before the body is in: a connection that is closed with bytes unread
             # is reset, and the caller may lose the refusal with it.
-            delivery.close_after()
-            refusal = refuse_busy(self._services.pressure, now, self._services.rng)
-            await self._refuse(delivery, request.identity, refusal)
+            response.close_connection_after()
+            refusal = refuse_overloaded(
+                self._services.pressure, now, self._services.rng
+            )
+            await self._refuse(response, request.identity, refusal)
             return
-        await self._serve(request, body, admission, ends_at, receive, delivery)
+        await self._run_until_disconnect(
+            request, body, admission, deadline_at, receive, response
+        )
 
     def _admit(self, request: CallerRequest) -> Admission | Refusal:
         table = self._configuration.table
@@ -145,10 +151,10 @@
             return refuse(
                 RefusalKind.CONFIGURATION_UNDECIDED,
                 "no configuration is known yet",
-                draw_retry(self._services.rng),
+                draw_retry_after(self._services.rng),
             )
         if not request.identity:
-            return refuse_bad("the request has no identity")
+            return refuse_malformed("the request has no identity")
         route = table.find_route(request.host, request.path)
         if route is None:
             return self._refuse_unknown(RefusalKind.UNKNOWN_ROUTE, "no such route")
@@ -165,81 +171,87 @@
         overdue = self._configuration.is_overdue(now)
         return refuse_unknown(kind, detail, age, overdue, self._services.rng)
 
-    async def _serve(
+    async def _run_until_disconnect(
         self,
         request: CallerRequest,
         body: bytes,
         admission: Admission,
-        ends_at: float,
+        deadline_at: float,
         receive: Receive,
-        delivery: Delivery,
+        response: ResponseWriter,
     ) -> None:
         """Run a request whose body is complete, until its caller leaves."""
         async with anyio.create_task_group() as group:
 
-            async def watch() -> None:
+            async def cancel_on_disconnect() -> None:
                 while (await receive())["type"] != "http.disconnect":
                     pass
-                if not delivery.complete:
+                if not response.complete:
                     log_event(Event.CALLER_GONE, request=request.identity)
                     group.cancel_scope.cancel()
 
-            group.start_soon(watch)
-            await self._run(request, body, admission, ends_at, delivery)
+            group.start_soon(cancel_on_disconnect)
+            await self._run_request(request, body, admission, deadline_at, response)
             group.cancel_scope.cancel()
 
-    async def _run(
+    async def _run_request(
         self,
         request: CallerRequest,
         body: bytes,
         admission: Admission,
-        ends_at: float,
-        delivery: Delivery,
+        deadline_at: float,
+        response: ResponseWriter,
     ) -> None:
         route, account = admission.route, admission.account
         table: RouteTable = self._configuration.table  # type: ignore[assignment]
-        name = choose_endpoint(route, self._services.rng)
-        endpoint = table.configuration.endpoints.get(name)
+        endpoint_name = choose_endpoint(route, self._services.rng)
+        endpoint = table.configuration.endpoints.get(endpoint_name)
         if endpoint is None:
-            refusal = refuse(RefusalKind.NO_ENDPOINT, f"no endpoint {name}", 1.0)
-            await self._refuse(delivery, request.identity, refusal)
+            refusal = refuse(
+                RefusalKind.NO_ENDPOINT, f"no endpoint {endpoint_name}", 1.0
+            )
+            await self._refuse(response, request.identity, refusal)
             return
-        self._services.retries.note_fresh(name, time.monotonic())
-        owner = account.name if account else ""
-        fingerprint = make_fingerprint(owner, request.method, request.target, body)
+        self._services.retries.note_fresh(endpoint_name, time.monotonic())
+        account_name = account.name if account else ""
+        fingerprint = make_fingerprint(
+            account_name, request.method, request.target, body
+        )
         if self._services.suspects.blocks(fingerprint, time.monotonic()):
             detail = "runners crashed while they ran this content"
-            refusal = refuse(RefusalKind.QUARANTINED, detail, QUARANTINED_SECONDS)
-            await self._refuse(delivery, request.identity, refusal)
+            refusal = refuse(
+                RefusalKind.QUARANTINED, detail, QUARANTINE_RETRY_AFTER_SECONDS
+            )
+            await self._refuse(response, request.identity, refusal)
             return
-        with self.closing.until_end() as end:
-            reservation = await self._reserve(account, request)
-        if end.cancelled_caught:
-            reservation = refuse_ended(self._services.rng)
+        with self.closing.until_end() as shutdown_scope:
+            reservation = await self._reserve_tokens(account, request)
+        if shutdown_scope.cancelled_caught:
+            reservation = refuse_stopped(self._services.rng)
         if isinstance(reservation, Refusal):
-            await self._refuse(delivery, request.identity, reservation)
+            await self._refuse(response, request.identity, reservation)
             return
-        call = Call(
+        context = RequestContext(
             services=self._services,
             request=request,
             body=body,
             route=route,
             endpoint=endpoint,
             account=account.name if account else None,
-            ranks=table.rank(route, account),
+            priorities=table.compute_priorities(route, account),
             fingerprint=fingerprint,
-            ends_at=ends_at,
-            delivery=delivery,
+            deadline_at=deadline_at,
+            response=response,
             progress=StreamProgress(request.last_event),
         )
         began_at = time.monotonic()
-        exchange = Exchange(call, reservation)
-        outcome = await self._run_in_time(exchange)
-        used = exchange.count_tokens()
-        self._note_outcome(call, table, outcome, began_at, used)
+        forwarder = RequestForwarder(context, reservation)
+        outcome = await self._run_until_shutdown(forwarder)
+        used = forwarder.count_tokens()
+        self._record_outcome(context, table, outcome, began_at, used)
         match outcome:
             case Refusal():
-                await self._refuse(delivery, request.identity, outcome)
+                await self._refuse(response, request.identity, outcome)
             case Broken(detail):
                 # The answer stays without its end mark, and the server closes the
                 # connection, so that the caller can't take it for a whole one.
@@ -247,75 +259,77 @@
                     Event.STREAM_BROKEN,
                     request=request.identity,
                     detail=detail,
-                    sent_to=call.arrivals,
+                    sent_to=context.counted_attempts,
                     resumable=route.resumable,
                 )
             case Answered():
                 pass
 
-    async def _run_in_time(self, exchange: Exchange) -> Answered | Broken | Refusal:
+    async def _run_until_shutdown(
+        self, forwarder: RequestForwarder
+    ) -> Answered | Broken | Refusal:
         """Run an exchange, until this process ends if it is to stop meanwhile."""
-        route, began_at = exchange.route, time.monotonic()
-        number = self.closing.answer_times.begin(route.name, began_at)
+        route, began_at = forwarder.route, time.monotonic()
+        timing_id = self.closing.answer_times.begin(route.name, began_at)
         outcome = None
         try:
-            with self.closing.until_end() as end:
-                outcome = await exchange.run()
-            if end.cancelled_caught:
-                outcome = exchange.cut_off()
+            with self.closing.until_end() as shutdown_scope:
+                outcome = await forwarder.run()
+            if shutdown_scope.cancelled_caught:
+                outcome = forwarder.abort()
             return outcome
         finally:
             self.closing.answer_times.end(
-                route.name, number, time.monotonic(), took_its_time(outcome)
+                route.name, timing_id, time.monotonic(), took_its_time(outcome)
             )
 
-    def _note_outcome(
+    def _record_outcome(
         self,
-        call: Call,
+        context: RequestContext,
         table: RouteTable,
         outcome: Answered | Broken | Refusal,
         began_at: float,
         used: int,
     ) -> None:
         measures = self._services.measures
-        route = call.route.name
+        route = context.route.name
         kind = type(outcome).__name__.lower()
         measures.requests.add(1, {"route": route, "outcome": kind})
-        first = call.delivery.first_byte_at
-        if first is not None:
-            measures.first_byte.record(first - began_at, {"route": route})
-        pause = call.delivery.longest_pause
-        if pause is not None:
+        first_byte_at = context.response.first_byte_at
+        if first_byte_at is not None:
+            measures.first_byte.record(first_byte_at - began_at, {"route": route})
+        gap = context.response.longest_gap
+        if gap is not None:
             # Once a stream, as recording each of its parts would cost more than
             # passing it on.
-            measures.gaps.record(pause, {"route": route})
+            measures.gaps.record(gap, {"route": route})
         if not isinstance(outcome, Answered):
             return
         now = time.monotonic()
         log_event(
             Event.REQUEST_ANSWERED,
-            request=call.request.identity,
+            request=context.request.identity,
             route=route,
-            account=call.account,
+            account=context.account,
             runner=outcome.runner,
             status=outcome.status,
-            sent_to=call.arrivals,
-            tokens=call.request.prompt_tokens,
+            sent_to=context.counted_attempts,
+            tokens=context.request.prompt_tokens,
             used=used,
-            prefix=[f"{part.name}:{part.tokens}" for part in call.request.parts],
-            first_byte=round((first or now) - began_at, 4),
+            prefix=[f"{part.name}:{part.tokens}" for part in context.request.parts],
+            first_byte=round((first_byte_at or now) - began_at, 4),
             seconds=round(now - began_at, 4),
             configuration=table.configuration.version,
             configuration_age=round(now - self._configuration.confirmed_at, 2),
         )
 
-    async def _reserve(
+    async def _reserve_tokens(
         self, account: Account | None, request: CallerRequest
     ) -> Reservation | Refusal:
         if account is None:
             return Reservation(None, 0)
-        found = await self._holdings.reserve(account, request.most_tokens)
-        if isinstance(found, Shortage):
+        result = await self._holdings.reserve(account, request.most_tokens)
+        if isinstance(result, Shortage):
             log_event(
                 Event.TOKENS_SHORT,
                 request=request.identity,
@@ -323,19 +337,19 @@
                 tokens=request.most_tokens,
                 **self._holdings.describe(account),
             )
-        match found:
+        match result:
             case Shortage.SPENT:
-                return refuse(RefusalKind.BUDGET_SPENT, found.value, None)
+                return refuse(RefusalKind.BUDGET_SPENT, result.value, None)
             case Shortage.HELD_ELSEWHERE | Shortage.OUT_OF_REACH:
                 return refuse(
                     RefusalKind.BUDGET_OUT_OF_REACH,
-                    found.value,
-                    self._services.rng.uniform(*TOKENS_SECONDS),
+                    result.value,
+                    self._services.rng.uniform(*OUT_OF_REACH_RETRY_AFTER_SECONDS),
                 )
-        return found
+        return result
 
     async def _refuse(
-        self, delivery: Delivery, identity: str, refusal: Refusal
+        self, response: ResponseWriter, identity: str, refusal: Refusal
     ) -> None:
         log_event(
             Event.REQUEST_REFUSED,
@@ -346,7 +360,7 @@
             detail=refusal.detail,
         )
         self._services.measures.refusals.add(1, {"kind": refusal.kind.value})
-        status = STATUSES.get(refusal.kind, 503)
+        status = HTTP_STATUSES.get(refusal.kind, 503)
         if status == 503 and refusal.ran is not Ran.NOT_RUN:
             status = 502
         body = orjson.dumps(
@@ -358,4 +372,4 @@
             }
         )
         headers = self._services.codec.encode_refusal(identity, refusal.retry_after)
-        await delivery.send_whole(status, headers, body)
+        await response.send_whole(status, headers, body)
--- a/knapweedrail/relay/bodies.py
+++ b/knapweedrail/relay/request_bodies.py
@@ -11,17 +11,19 @@
 from ..outcomes import Refusal, RefusalKind
 from .refusals import refuse
 
-AGAIN_SECONDS = 1.0
+SLOW_BODY_RETRY_AFTER_SECONDS = 1.0
 """When to come back for a caller whose body was too slow: its link may be full."""
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 
 
-class CallerGone(Exception):
+class CallerDisconnected(Exception):
     """The caller has closed its connection."""
 
 
-async def receive_body(receive: Receive, most: int, ends_at: float) -> bytes | Refusal:
+async def receive_body(
+    receive: Receive, max_bytes: int, deadline_at: float
+) -> bytes | Refusal:
     """Receive a whole body.
 
     Args:
@@ -34,15 +36,19 @@
     """
     parts: list[bytes] = []
     size = 0
-    with anyio.move_on_after(ends_at - time.monotonic()):
+    with anyio.move_on_after(deadline_at - time.monotonic()):
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                raise CallerGone
+                raise CallerDisconnected
             parts.append(message.get("body", b""))
             size += len(parts[-1])
-            if size > most:
-                return refuse(RefusalKind.TOO_LARGE, f"over {most} bytes", None)
+            if size > max_bytes:
+                return refuse(RefusalKind.TOO_LARGE, f"over {max_bytes} bytes", None)
             if not message.get("more_body", False):
                 return b"".join(parts)
-    return refuse(RefusalKind.DEADLINE, "the body didn't arrive in time", AGAIN_SECONDS)
+    return refuse(
+        RefusalKind.DEADLINE,
+        "the body didn't arrive in time",
+        SLOW_BODY_RETRY_AFTER_SECONDS,
+    )
--- a/knapweedrail/relay/deliveries.py
+++ b/knapweedrail/relay/response_writer.py
@@ -11,7 +11,7 @@
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 
 
-class Delivery:
+class ResponseWriter:
     """Sends one answer.
 
     Args:
@@ -24,18 +24,18 @@
             second part.
     """
 
-    def __init__(self, send: Send, is_stopping: Callable[[], bool]) -> None:
+    def __init__(self, send: Send, should_close: Callable[[], bool]) -> None:
         self._send = send
-        self._is_stopping = is_stopping
-        self._last_part_at = 0.0
-        self.longest_pause: float | None = None
+        self._should_close = should_close
+        self._last_chunk_at = 0.0
+        self.longest_gap: float | None = None
         self.first_byte_at: float | None = None
-        self._last_of_connection = False
+        self._closes_connection = False
         self.complete = False
 
-    def close_after(self) -> None:
+    def close_connection_after(self) -> None:
         """Let the connection end with this answer."""
-        self._last_of_connection = True
+        self._closes_connection = True
 
     @property
     def started(self) -> bool:
@@ -49,15 +49,15 @@
         self.complete = True
         await self._send({"type": "http.response.body", "body": body})
 
-    async def send_part(self, status: int, headers: Headers, data: bytes) -> None:
+    async def send_chunk(self, status: int, headers: Headers, data: bytes) -> None:
         """Send the next part of a stream; the first one takes the headers along."""
         now = time.monotonic()
         if self.started:
-            pause = now - self._last_part_at
-            self.longest_pause = max(pause, self.longest_pause or 0.0)
+            gap = now - self._last_chunk_at
+            self.longest_gap = max(gap, self.longest_gap or 0.0)
         else:
             await self._start(status, list(headers))
-        self._last_part_at = now
+        self._last_chunk_at = now
         if data:
             await self._send(
                 {"type": "http.response.body", "body": data, "more_body": True}
@@ -70,7 +70,7 @@
 
     async def _start(self, status: int, headers: Headers) -> None:
         self.first_byte_at = time.monotonic()
-        if self._last_of_connection or self._is_stopping():
+        if self._closes_connection or self._should_close():
             headers = [*headers, (b"connection", b"close")]
         await self._send(
             {"type": "http.response.start", "status": status, "headers": headers}
--- a/knapweedrail/relay/retries.py
+++ b/knapweedrail/relay/retries.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-SAFETY = 0.8
+SAFETY_FACTOR = 0.8
 """Part of the allowance that is used. Relays learn late how many they are, and the
 windows in which the operator counts begin at other moments than ours."""
 
@@ -29,12 +29,12 @@
         self._ratio = ratio
         self._reserve = reserve
         self._window = window
-        self._fresh: dict[str, deque[float]] = {}
+        self._requests: dict[str, deque[float]] = {}
         self._retries: dict[str, deque[float]] = {}
 
     def note_fresh(self, endpoint: str, now: float) -> None:
         """Count a caller's request."""
-        self._fresh.setdefault(endpoint, deque()).append(now)
+        self._requests.setdefault(endpoint, deque()).append(now)
 
     def take(self, endpoint: str, relays: int, now: float) -> bool:
         """Take one retry, if one is left.
@@ -42,18 +42,22 @@
         Args:
             relays: Number of relays that share the reserve.
         """
-        fresh = self._count(self._fresh, endpoint, now)
-        used = self._count(self._retries, endpoint, now)
-        allowed = SAFETY * (self._ratio * fresh + self._reserve / max(1, relays))
+        requests = self._count_recent(self._requests, endpoint, now)
+        used = self._count_recent(self._retries, endpoint, now)
+        allowed = SAFETY_FACTOR * (
+            self._ratio * requests + self._reserve / max(1, relays)
+        )
         if used + 1 > allowed:
             return False
         self._retries.setdefault(endpoint, deque()).append(now)
         return True
 
-    def _count(self, times: dict[str, deque[float]], endpoint: str, now: float) -> int:
-        found = times.get(endpoint)
-        if not found:
+    def _count_recent(
+        self, times: dict[str, deque[float]], endpoint: str, now: float
+    ) -> int:
+        recent = times.get(endpoint)
+        if not recent:
             return 0
-        while found and found[0] < now - self._window:
-            found.popleft()
-        return len(found)
+        while recent and recent[0] < now - self._window:
+            recent.popleft()
+        return len(recent)
--- a/knapweedrail/relay/routes.py
+++ b/knapweedrail/relay/routes.py
@@ -8,12 +8,12 @@
 
 from .models import Account, Configuration, Route
 
-RANKS = 10
+PRIORITY_LEVELS = 10
 """Ranks that runners tell apart, from 0, the most urgent."""
 
 
 @attrs.frozen
-class Ranks:
+class Priorities:
     """Ranks that a runner may be told for one request; 0 is the most urgent.
 
     Attributes:
@@ -23,8 +23,8 @@
             nothing waits: told always, a tenth of all answers came late that didn't.
     """
 
-    calm: int
-    busy: int
+    by_account: int
+    by_account_and_route: int
 
 
 class RouteTable:
@@ -44,7 +44,7 @@
             key: account for account in accounts.values() for key in account.keys
         }
 
-        self._order = _list_urgencies(configuration)
+        self._sorted_keys = _list_priority_keys(configuration)
 
     @property
     def needs_keys(self) -> bool:
@@ -61,37 +61,45 @@
             end = path.rfind("/", 0, end)
         return None
 
-    def rank(self, route: Route, account: Account | None) -> Ranks:
+    def compute_priorities(self, route: Route, account: Account | None) -> Priorities:
         """Return a request's ranks among all others.
 
         The account's rank goes first, and among requests of accounts that rank alike
         the route's.
         """
         account_rank = account.rank if account is not None else None
-        urgency = _make_urgency(route.rank, account_rank)
-        alike = [pair for pair in self._order if pair[0] == urgency[0]]
-        return Ranks(calm=self._place(alike[0]), busy=self._place(urgency))
-
-    def _place(self, urgency: tuple[int, int]) -> int:
-        place = self._order.index(urgency)
-        return min(RANKS - 1, place * RANKS // max(RANKS, len(self._order)))
+        priority_key = _make_priority_key(route.rank, account_rank)
+        same_account = [
+            pair for pair in self._sorted_keys if pair[0] == priority_key[0]
+        ]
+        return Priorities(
+            by_account=self._compute_level(same_account[0]),
+            by_account_and_route=self._compute_level(priority_key),
+        )
+
+    def _compute_level(self, priority_key: tuple[int, int]) -> int:
+        position = self._sorted_keys.index(priority_key)
+        return min(
+            PRIORITY_LEVELS - 1,
+            position * PRIORITY_LEVELS // max(PRIORITY_LEVELS, len(self._sorted_keys)),
+        )
 
     def find_account(self, key: str | None) -> Account | None:
         """Return the account that holds a key."""
         return self._accounts.get(key) if key else None
 
 
-def _make_urgency(route: int, account: int | None) -> tuple[int, int]:
+def _make_priority_key(route: int, account: int | None) -> tuple[int, int]:
     return (route if account is None else account, route)
 
 
-def _list_urgencies(configuration: Configuration) -> list[tuple[int, int]]:
+def _list_priority_keys(configuration: Configuration) -> list[tuple[int, int]]:
     """Return all pairs of ranks that requests may have, the most urgent first."""
     accounts = {account.rank for account in (configuration.accounts or {}).values()}
     routes = {route.rank for route in configuration.routes}
     return sorted(
         {
-            _make_urgency(route, account)
+            _make_priority_key(route, account)
             for route in routes
             for account in {None, *accounts}
         }
--- a/knapweedrail/relay/streams.py
+++ b/knapweedrail/relay/streams.py
@@ -10,8 +10,8 @@
 
 import attrs
 
-_END = re.compile(rb"\r?\n\r?\n")
-_NUMBER = re.compile(rb"(?:^|\n)id: ?(\d+)")
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
+_EVENT_ID = re.compile(rb"(?:^|\n)id: ?(\d+)")
 
 
 @attrs.frozen
@@ -24,31 +24,31 @@
     """
 
     data: bytes
-    number: int | None
+    event_id: int | None
 
 
 class EventSplitter:
     """Cuts the bytes of one run into events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes after the last whole event."""
-        return self._rest
+        return self._remainder
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Take in bytes and return the events that they complete."""
-        data = self._rest + data
+        data = self._remainder + data
         events = []
         start = 0
-        for match in _END.finditer(data):
+        for match in _EVENT_END.finditer(data):
             text = data[start : match.end()]
-            number = _NUMBER.search(text)
-            events.append(StreamEvent(text, int(number[1]) if number else None))
+            event_id = _EVENT_ID.search(text)
+            events.append(StreamEvent(text, int(event_id[1]) if event_id else None))
             start = match.end()
-        self._rest = data[start:]
+        self._remainder = data[start:]
         return events
 
 
@@ -59,18 +59,21 @@
         last: Number of the last event that the caller came with, if it resumes.
     """
 
-    def __init__(self, last: int | None) -> None:
-        self.last = last
-        self.passed = 0
+    def __init__(self, last_event_id: int | None) -> None:
+        self.last_event_id = last_event_id
+        self.event_count = 0
 
-    def select(self, events: list[StreamEvent]) -> bytes:
+    def select_new(self, events: list[StreamEvent]) -> bytes:
         """Return the bytes of those events that the caller doesn't have yet."""
         data = []
         for event in events:
-            if event.number is not None:
-                if self.last is not None and event.number <= self.last:
+            if event.event_id is not None:
+                if (
+                    self.last_event_id is not None
+                    and event.event_id <= self.last_event_id
+                ):
                     continue
-                self.last = event.number
-            self.passed += 1
+                self.last_event_id = event.event_id
+            self.event_count += 1
             data.append(event.data)
         return b"".join(data)
--- a/knapweedrail/relay/headers.py
+++ b/knapweedrail/relay/unknown_headers.py
@@ -4,11 +4,11 @@
 
 from ..events import Event, log_event
 
-MOST_NAMES = 50
+MAX_NAMES = 50
 """Names that are told of; a runner could make up any number of them."""
 
 
-class UnreadHeaders:
+class UnknownHeaderLog:
     """Tells once of each header that no relay reads.
 
     Runners may be newer than relays, and say what a relay should heed.
@@ -17,9 +17,9 @@
     def __init__(self) -> None:
         self._names: set[str] = set()
 
-    def note(self, names: tuple[str, ...], runner: str) -> None:
+    def record(self, names: tuple[str, ...], runner: str) -> None:
         """Take in the names of an answer."""
         for name in names:
-            if name not in self._names and len(self._names) < MOST_NAMES:
+            if name not in self._names and len(self._names) < MAX_NAMES:
                 self._names.add(name)
                 log_event(Event.HEADER_UNREAD, header=name, runner=runner)
--- a/knapweedrail/tests/relays_in_memory.py
+++ b/knapweedrail/tests/relays_in_memory.py
@@ -110,10 +110,10 @@
         self, kind: str, name: str, spec: Any, revision: int | None
     ) -> Any:
         await anyio.sleep(0)
-        fate = self.fates.pop(0) if self.fates else "answer"
-        if self.away or fate == "away":
+        result = self.fates.pop(0) if self.fates else "answer"
+        if self.away or result == "away":
             return Unavailable("write", "store", "away")
-        if fate == "drop":
+        if result == "drop":
             return Unknown("write", "store", "no answer")
         known = self.objects.get((kind, name))
         if known is None and revision is not None:
@@ -123,7 +123,7 @@
             return Conflict(copy.deepcopy(known))
         self.writes += 1
         stored = self.put(kind, name, spec)
-        if fate == "lose":
+        if result == "lose":
             return Unknown("write", "store", "no answer")
         return Written(stored.revision)
 
@@ -181,7 +181,7 @@
 
 
 def make_answer(
-    head: str, body: bytes = b"ok", status: int = 200, **more: str
+    head: str, body: bytes = b"ok", status: int = 200, **extra_headers: str
 ) -> bytes:
     """Return a sound answer to a request, with a seal."""
     lines = [
@@ -190,7 +190,9 @@
         "Knapweedrail-Response-Seal: s",
         f"Content-Length: {len(body)}",
     ]
-    lines += [f"{name.replace('_', '-')}: {value}" for name, value in more.items()]
+    lines += [
+        f"{name.replace('_', '-')}: {value}" for name, value in extra_headers.items()
+    ]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
@@ -298,13 +300,13 @@
             "headers": [(k.encode(), v.encode()) for k, v in sent.items()],
         }
         answer = Answer()
-        told = False
+        body_sent = False
 
         async def receive() -> dict[str, Any]:
-            nonlocal told
-            if not told:
+            nonlocal body_sent
+            if not body_sent:
                 await anyio.sleep(body_takes)
-                told = True
+                body_sent = True
                 return {"type": "http.request", "body": body, "more_body": False}
             if leaves_after is None:
                 await anyio.sleep_forever()
--- a/knapweedrail/tests/test_relay_deployments.py
+++ b/knapweedrail/tests/test_relay_deployments.py
@@ -19,7 +19,7 @@
 SAFE = make_route(Repetition.SAFE)
 
 
-async def test_a_deployment_without_accounts_needs_no_keys():
+async def test_deployment_without_accounts_needs_no_keys():
     runner = ScriptedRunner(answer_well)
     configuration = attrs.evolve(make_configuration(SAFE), accounts=None)
     async with run_relay(configuration, runner) as relay:
@@ -28,7 +28,7 @@
     assert find_header(runner.heads[0], "knapweedrail-tenant") is None
 
 
-async def test_a_public_route_names_no_account_whatever_key_is_shown():
+async def test_public_route_ignores_keys_and_tenant_header():
     runner = ScriptedRunner(answer_well)
     route = make_route(Repetition.SAFE, needs_key=False)
     async with run_relay(make_configuration(route), runner) as relay:
@@ -44,14 +44,14 @@
     assert answer.status == 200
 
 
-async def test_an_endpoint_without_runners_is_refused_at_once():
+async def test_endpoint_without_runners_is_refused_at_once():
     async with run_relay(make_configuration(SAFE)) as relay:
         answer = await relay.call()
     assert answer.status == 503
     assert float(answer.headers["retry-after"]) > 0
 
 
-async def test_a_route_split_over_three_endpoints_reaches_all():
+async def test_route_split_over_three_endpoints_reaches_all():
     runners = [ScriptedRunner(answer_well) for _ in range(3)]
     shares = tuple(Share(name, 1.0) for name in ("e", "f", "g"))
     configuration = make_configuration(make_route(Repetition.SAFE, shares=shares))
@@ -72,7 +72,7 @@
     assert all(runner.heads for runner in runners)
 
 
-async def test_a_single_relay_holds_what_a_large_request_needs():
+async def test_single_relay_can_reserve_most_of_the_budget():
     """One relay is all there is, and a request needs most of what is left."""
     configuration = make_configuration(SAFE, prepaid=1000)
     async with run_relay(configuration, ScriptedRunner(answer_well)) as relay:
@@ -80,13 +80,13 @@
     assert answer.status == 200
 
 
-async def test_a_request_without_an_identity_is_malformed():
+async def test_request_without_identity_is_malformed():
     async with run_relay(make_configuration(SAFE), ScriptedRunner(answer_well)) as r:
         answer = await r.call(knapweedrail_request_id="")
     assert answer.status == 400
 
 
-async def test_odd_sizes_and_deadlines_are_read_as_not_said():
+async def test_unparsable_request_headers_are_ignored():
     """A caller writes its headers wrong. It is served as if it had said nothing."""
     runner = ScriptedRunner(answer_well)
     async with run_relay(make_configuration(SAFE, prepaid=10), runner) as relay:
--- a/knapweedrail/tests/test_relay_exchanges.py
+++ b/knapweedrail/tests/test_relay_exchanges.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from ..relay.attempts import SILENCE_SECONDS
+from ..relay.attempts import UNRESPONSIVE_SECONDS
 from ..relay.models import Repetition
 from ..relay.suspects import CRASHES, make_fingerprint
 from .relays_in_memory import (
@@ -27,17 +27,17 @@
 SAFE = make_route(Repetition.SAFE)
 ONCE = make_route(Repetition.ONCE)
 STREAM = make_route(Repetition.STREAM, resumable=True)
-FIXED_STREAM = make_route(Repetition.STREAM, resumable=False)
+NON_RESUMABLE_STREAM = make_route(Repetition.STREAM, resumable=False)
 
 
-async def stream_three(stream, head):
+async def stream_three_events(stream, head):
     first = int(find_header(head, "last-event-id") or 0) + 1
     data = b"".join(make_chunk(make_event(n)) for n in range(first, 4))
     await stream.send(make_stream_head(head) + data + make_chunk(b""))
     return True
 
 
-async def test_a_whole_answer_arrives_as_the_runner_gave_it():
+async def test_answer_is_passed_on_unchanged():
     runner = ScriptedRunner(answer_well)
     async with run_relay(make_configuration(SAFE), runner) as relay:
         answer = await relay.call()
@@ -54,7 +54,7 @@
     assert 0 < int(find_header(head, "knapweedrail-deadline-ms")) <= 3000
 
 
-async def test_a_second_answer_is_not_taken_for_the_next_one():
+async def test_duplicate_answer_is_not_used_for_the_next_request():
     """A faulty runner answers one request twice. The spare answer waits on the kept
     connection, and whoever uses that next would get another caller's answer."""
 
@@ -70,7 +70,7 @@
     assert second.headers["knapweedrail-request-id"] == "id-2"
 
 
-async def test_a_spare_answer_that_comes_late_is_dropped_with_its_connection():
+async def test_late_duplicate_answer_closes_the_pooled_connection():
     """The runner's second answer comes a moment after the first, when the connection
     is idle already."""
 
@@ -89,7 +89,7 @@
     assert second.headers["knapweedrail-request-id"] == "id-2"
 
 
-async def test_an_answer_to_another_request_is_not_passed_on():
+async def test_answer_to_another_request_is_not_passed_on():
     """The runner mixes up its callers. A caller would read someone else's answer."""
 
     async def answer_other(stream, head):
@@ -103,33 +103,33 @@
     assert b"theirs" not in answer.body
 
 
-async def test_a_call_that_may_run_once_is_not_repeated_when_its_answer_is_lost():
+async def test_non_repeatable_request_is_not_retried_after_a_lost_answer():
     """The runner resets the connection after it has read the request. It may have run;
     a second run would send two gangs to one farm, and "not run" would be a lie."""
 
-    async def break_off(stream, head):
+    async def close_connection(stream, head):
         return False
 
-    runners = ScriptedRunner(break_off), ScriptedRunner(break_off)
+    runners = ScriptedRunner(close_connection), ScriptedRunner(close_connection)
     async with run_relay(make_configuration(ONCE), *runners) as relay:
         answer = await relay.call()
     assert answer.status == 502
     assert sum(len(runner.heads) for runner in runners) == 1
 
 
-async def test_a_repeatable_call_goes_to_another_runner():
+async def test_repeatable_request_is_retried_at_another_runner():
     """The first runner breaks off each answer. The caller notices nothing."""
 
-    async def break_off(stream, head):
+    async def close_connection(stream, head):
         return False
 
-    runners = ScriptedRunner(break_off), ScriptedRunner(answer_well)
+    runners = ScriptedRunner(close_connection), ScriptedRunner(answer_well)
     async with run_relay(make_configuration(SAFE), *runners) as relay:
         answers = [await relay.call() for _ in range(5)]
     assert {answer.status for answer in answers} == {200}
 
 
-async def test_a_rejected_call_goes_to_another_runner_though_it_may_run_once():
+async def test_rejected_non_repeatable_request_is_retried():
     """A full runner says that it hasn't run the request; another has room."""
 
     async def reject(stream, head):
@@ -142,7 +142,7 @@
     assert {answer.status for answer in answers} == {200}
 
 
-async def test_a_request_that_every_runner_rejected_is_refused_as_not_run():
+async def test_request_rejected_by_every_runner_is_refused_as_not_run():
     """All runners are full. The caller is told at once, and when to come back."""
 
     async def reject(stream, head):
@@ -156,7 +156,7 @@
     assert "knapweedrail-response-seal" not in answer.headers
 
 
-async def test_a_runner_that_takes_no_connection_costs_no_attempt():
+async def test_failed_connection_does_not_count_as_attempt():
     """A runner has died, and its entry is still listed. Nothing was sent to it, so a
     call that may run once goes to another one."""
     runner = ScriptedRunner(answer_well)
@@ -168,7 +168,7 @@
     assert {answer.status for answer in answers} == {200}
 
 
-async def test_a_runners_own_failure_is_passed_on_as_it_is():
+async def test_error_answer_of_a_runner_is_passed_on():
     async def fail(stream, head):
         await stream.send(make_answer(head, b"broken", 500))
         return True
@@ -179,37 +179,37 @@
     assert answer.headers["knapweedrail-response-seal"] == "s"
 
 
-async def test_a_broken_stream_goes_on_at_another_runner_without_gap_or_repetition():
+async def test_broken_stream_resumes_at_another_runner_without_gap_or_duplicate():
     """A runner stops in the middle of the second event. Another one goes on after the
     first, and the caller sees one stream."""
 
-    async def stop_midway(stream, head):
+    async def break_mid_event(stream, head):
         if find_header(head, "last-event-id"):
-            return await stream_three(stream, head)
+            return await stream_three_events(stream, head)
         part = make_event(2)[:9]
         chunks = make_chunk(make_event(1)) + make_chunk(part)
         await stream.send(make_stream_head(head) + chunks)
         return False
 
-    runners = ScriptedRunner(stop_midway), ScriptedRunner(stop_midway)
+    runners = ScriptedRunner(break_mid_event), ScriptedRunner(break_mid_event)
     async with run_relay(make_configuration(STREAM), *runners) as relay:
         answer = await relay.call()
     assert answer.whole
     assert answer.body == b"".join(map(make_event, (1, 2, 3)))
 
 
-async def test_a_stream_that_falls_silent_goes_on_at_another_runner():
+async def test_stalled_stream_resumes_at_another_runner():
     """A runner goes dark in the middle of its stream, without closing anything. The
     caller would give up after two seconds."""
 
-    async def fall_silent(stream, head):
+    async def stall(stream, head):
         if find_header(head, "last-event-id"):
-            return await stream_three(stream, head)
+            return await stream_three_events(stream, head)
         await stream.send(make_stream_head(head) + make_chunk(make_event(1)))
         await anyio.sleep(10)
         return False
 
-    runners = ScriptedRunner(fall_silent), ScriptedRunner(fall_silent)
+    runners = ScriptedRunner(stall), ScriptedRunner(stall)
     async with run_relay(make_configuration(STREAM), *runners) as relay:
         with anyio.fail_after(2.0):
             answer = await relay.call()
@@ -217,39 +217,39 @@
     assert answer.body == b"".join(map(make_event, (1, 2, 3)))
 
 
-async def test_a_stream_that_may_not_be_resumed_ends_without_its_end_mark():
+async def test_broken_non_resumable_stream_is_left_incomplete():
     """The runner breaks off a stream that another can't go on with. The caller must
     not take the part for the whole."""
 
-    async def stop_midway(stream, head):
+    async def break_mid_event(stream, head):
         await stream.send(make_stream_head(head) + make_chunk(make_event(1)))
         return False
 
-    runners = ScriptedRunner(stop_midway), ScriptedRunner(stream_three)
-    async with run_relay(make_configuration(FIXED_STREAM), runners[0]) as relay:
+    runners = ScriptedRunner(break_mid_event), ScriptedRunner(stream_three_events)
+    async with run_relay(make_configuration(NON_RESUMABLE_STREAM), runners[0]) as relay:
         answer = await relay.call()
     assert answer.body == make_event(1)
     assert not answer.whole
 
 
-async def test_a_caller_that_leaves_ends_the_work_at_the_runner():
+async def test_caller_disconnect_closes_the_runner_connection():
     """A caller closes its connection. The runner would go on working for nobody."""
     ended = anyio.Event()
 
-    async def work_long(stream, head):
+    async def run_long(stream, head):
         try:
             await stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError):
             ended.set()
         return False
 
-    async with run_relay(make_configuration(SAFE), ScriptedRunner(work_long)) as relay:
+    async with run_relay(make_configuration(SAFE), ScriptedRunner(run_long)) as relay:
         await relay.call(leaves_after=0.05)
         with anyio.fail_after(0.4):
             await ended.wait()
 
 
-async def test_the_routes_time_ends_the_wait():
+async def test_route_timeout_ends_the_request():
     """A runner takes a request and never answers. The caller hears at the route's own
     time, not at its deadline."""
 
@@ -264,7 +264,7 @@
     assert answer.status == 504
 
 
-async def test_an_unknown_key_or_route_is_refused_only_by_a_current_relay():
+async def test_unknown_key_or_route_is_final_only_with_a_confirmed_configuration():
     """A relay that was cut off from the store may lack a new key. "Unknown" would be
     final for its caller, and untrue."""
     async with run_relay(make_configuration(SAFE), ScriptedRunner(answer_well)) as r:
@@ -276,35 +276,35 @@
 
 
 @pytest.mark.parametrize("late, status", [(0.5, 401), (1.5, 503)])
-async def test_a_key_is_unknown_only_while_the_store_confirms_in_time(late, status):
+async def test_unknown_key_is_final_only_within_the_confirmation_interval(late, status):
     """Guards against final refusals by a relay whose watch the store has lost."""
     async with run_relay(make_configuration(SAFE), ScriptedRunner(answer_well)) as r:
         r.configuration.confirmed_at = time.monotonic() - WATCH_SECONDS - late
         assert (await r.call(knapweedrail_key="other")).status == status
 
 
-async def test_a_relay_without_a_configuration_says_not_now():
+async def test_relay_without_configuration_asks_to_retry_later():
     async with run_relay(None) as relay:
         answer = await relay.call()
     assert answer.status == 503
     assert float(answer.headers["retry-after"]) > 0
 
 
-async def test_tokens_are_counted_for_what_was_delivered():
+async def test_tokens_are_charged_for_delivered_events():
     """Prompt once, and one token for each event that was passed on; the rest of the
     largest answer comes back."""
     configuration = make_configuration(STREAM, prepaid=1000)
-    async with run_relay(configuration, ScriptedRunner(stream_three)) as relay:
+    async with run_relay(configuration, ScriptedRunner(stream_three_events)) as relay:
         await relay.call(knapweedrail_token_usage="100,50")
         position = relay.holdings._get("farm").allowance.position
     assert position.spent == 103
     assert position.reserved == 0
 
 
-async def test_a_budget_that_does_not_cover_a_request_is_refused_before_it_runs():
+async def test_request_above_the_budget_is_refused_before_it_runs():
     """The account has fewer tokens than the request may use."""
     configuration = make_configuration(STREAM, prepaid=120)
-    runner = ScriptedRunner(stream_three)
+    runner = ScriptedRunner(stream_three_events)
     async with run_relay(configuration, runner) as relay:
         await anyio.sleep(0.05)
         answer = await relay.call(knapweedrail_token_usage="100,50")
@@ -312,11 +312,11 @@
     assert not runner.heads
 
 
-async def test_a_budget_out_of_reach_is_not_called_spent():
+async def test_unreachable_budget_is_not_reported_as_spent():
     """The store is away, and the relay holds nothing. The caller is told to come back
     soon, at once, not that its budget is spent."""
     configuration = make_configuration(STREAM, prepaid=1000)
-    runner = ScriptedRunner(stream_three)
+    runner = ScriptedRunner(stream_three_events)
     async with run_relay(configuration, runner) as relay:
         relay.store.away = True
         await anyio.sleep(0.05)
@@ -327,35 +327,35 @@
     assert not runner.heads
 
 
-async def test_a_caller_that_leaves_has_still_used_its_prompt():
+async def test_prompt_is_charged_when_the_caller_disconnects():
     """The runner has read the prompt when the caller closes its connection. If its
     tokens came back, whoever leaves early could use the engine for nothing, and the
     account would spend more than it prepaid."""
 
-    async def work_long(stream, head):
+    async def run_long(stream, head):
         await anyio.sleep(5)
         return False
 
     configuration = make_configuration(STREAM, prepaid=1000)
-    async with run_relay(configuration, ScriptedRunner(work_long)) as relay:
+    async with run_relay(configuration, ScriptedRunner(run_long)) as relay:
         await relay.call(knapweedrail_token_usage="100,50", leaves_after=0.1)
         position = relay.holdings._get("farm").allowance.position
     assert position.spent == 100
     assert position.reserved == 0
 
 
-async def test_a_route_shorter_than_its_work_says_nothing_of_its_runners():
+async def test_short_route_timeout_does_not_eject_runners():
     """The operator gives a route less time than its work takes. Taking each of its
     time-outs for a dead runner, the relay would send nobody there for a while."""
 
-    async def work_long(stream, head):
+    async def run_long(stream, head):
         await anyio.sleep(1)
         return False
 
     # Far from both ends: a busy machine may take a while to connect, and from half a
     # second on a wait does say something of its runner.
-    route = make_route(Repetition.ONCE, timeout=SILENCE_SECONDS / 2)
-    async with run_relay(make_configuration(route), ScriptedRunner(work_long)) as relay:
+    route = make_route(Repetition.ONCE, timeout=UNRESPONSIVE_SECONDS / 2)
+    async with run_relay(make_configuration(route), ScriptedRunner(run_long)) as relay:
         for _ in range(5):
             assert (await relay.call()).status == 504
         view = relay.table.list_views("e", 0.0)[0]
@@ -363,7 +363,7 @@
         assert view.failing == 0.0
 
 
-async def test_a_call_that_was_answered_well_is_no_suspect_any_more():
+async def test_answered_request_is_no_longer_a_suspect():
     """Many callers read the same status, and now and then a runner dies while one does.
     After three such deaths nobody could read it for an hour."""
     runner = ScriptedRunner(answer_well)
@@ -376,7 +376,7 @@
             assert (await relay.call()).status == 200
 
 
-async def test_a_call_that_its_caller_gave_up_is_taken_back_from_the_network():
+async def test_abandoned_request_resets_the_runner_connection():
     """A cut holds a confirmation up on its way. Its caller leaves, the cut heals, and
     the kernel would still deliver it: a visit is confirmed that nobody waits for, and
     once more when the caller has asked again. A reset discards what is under way."""
@@ -397,7 +397,7 @@
     assert ends == [anyio.BrokenResourceError]
 
 
-async def test_callers_that_leave_unanswered_tell_of_a_silent_runner():
+async def test_caller_disconnects_count_against_an_unresponsive_runner():
     """A data centre is cut off, and callers with short deadlines leave just before the
     relay's own limit. Without taking note it would send each next one there too."""
 
--- a/knapweedrail/tests/test_relay_streams.py
+++ b/knapweedrail/tests/test_relay_streams.py
@@ -21,45 +21,47 @@
 
 
 @given(st.lists(st.integers(1, 60), max_size=30), st.integers(1, 12))
-def test_events_come_out_whole_however_they_are_cut(cuts, count):
+def test_events_are_whole_for_any_chunk_boundaries(chunk_sizes, count):
     data = b"".join(make_event(n) for n in range(1, count + 1))
     splitter, progress, passed = EventSplitter(), StreamProgress(None), b""
-    for cut in [*cuts, len(data)]:
-        part, data = data[:cut], data[cut:]
-        passed += progress.select(splitter.feed(part))
-    passed += progress.select(splitter.feed(data))
+    for size in [*chunk_sizes, len(data)]:
+        part, data = data[:size], data[size:]
+        passed += progress.select_new(splitter.feed(part))
+    passed += progress.select_new(splitter.feed(data))
     assert passed == b"".join(make_event(n) for n in range(1, count + 1))
-    assert progress.last == count
-    assert splitter.rest == b""
+    assert progress.last_event_id == count
+    assert splitter.remainder == b""
 
 
 @given(st.integers(0, 9), st.integers(0, 9))
-def test_a_second_run_adds_only_what_is_missing(had, start):
+def test_second_run_adds_only_missing_events(received_count, start):
     """A runner goes on a little before the last event that the caller has."""
     progress = StreamProgress(None)
-    first = EventSplitter().feed(b"".join(make_event(n) for n in range(1, had + 1)))
-    data = progress.select(first)
+    first = EventSplitter().feed(
+        b"".join(make_event(n) for n in range(1, received_count + 1))
+    )
+    data = progress.select_new(first)
     second = EventSplitter().feed(
-        b"".join(make_event(n) for n in range(min(start, had) + 1, 11))
+        b"".join(make_event(n) for n in range(min(start, received_count) + 1, 11))
     )
-    data += progress.select(second)
+    data += progress.select_new(second)
     assert data == b"".join(make_event(n) for n in range(1, 11))
 
 
-def test_half_an_event_is_kept_back():
+def test_partial_event_is_buffered():
     splitter = EventSplitter()
     assert splitter.feed(make_event(1)[:-1]) == []
-    assert splitter.rest
+    assert splitter.remainder
 
 
-def test_a_caller_that_resumes_gets_what_comes_after_its_last_event():
+def test_resuming_caller_gets_events_after_its_last_event_id():
     progress = StreamProgress(2)
     events = EventSplitter().feed(b"".join(make_event(n) for n in range(1, 4)))
-    assert progress.select(events) == make_event(3)
+    assert progress.select_new(events) == make_event(3)
 
 
 @pytest.mark.anyio
-async def test_a_stream_that_no_other_runner_takes_goes_on_where_it_was():
+async def test_stalled_stream_continues_when_no_other_runner_accepts_it():
     """A runner pauses for longer than the relay waits, and the only other one is full.
     The relay has ended the first run by then, and the caller is left with half an
     answer, although the runner was about to go on. Found by seed 1500 of the soak."""
@@ -83,7 +85,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_stream_that_pauses_twice_goes_on_where_it_was():
+async def test_stream_that_stalls_repeatedly_continues_at_its_runner():
     """A runner makes room for more urgent work again and again, and no other one has
     room. Each pause is longer than the relay waits before it asks another."""
 
@@ -109,8 +111,8 @@
 
 
 @pytest.mark.anyio
-@pytest.mark.parametrize("thinks", [0.05, 1.0])
-async def test_the_runs_of_a_stalled_stream_hardly_overlap(thinks):
+@pytest.mark.parametrize("first_event_delay", [0.05, 1.0])
+async def test_runs_of_a_stalled_stream_overlap_only_briefly(first_event_delay):
     """A runner pauses, and another one goes on with its stream, at once or after some
     thought. Worked on by both, the request would take two places, and its caller might
     pay for it twice."""
@@ -118,13 +120,13 @@
 
     async def respond(stream, head):
         if find_header(head, "last-event-id"):
-            asked_at = anyio.current_time()
-            await anyio.sleep(thinks)
+            resumed_at = anyio.current_time()
+            await anyio.sleep(first_event_delay)
             await stream.send(make_stream_head(head) + make_chunk(make_event(2)))
             with anyio.fail_after(2.0):
                 while not ended:
                     await anyio.sleep(0.01)
-            assert ended[0] - asked_at < 0.4
+            assert ended[0] - resumed_at < 0.4
             await stream.send(make_chunk(make_event(3)) + make_chunk(b""))
             return True
         await stream.send(make_stream_head(head) + make_chunk(make_event(1)))
