--- a/knapweedrail/relay/attempts.py
+++ b/knapweedrail/relay/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request answered by a runner."""
+"""One attempt to forward a request to a runner."""
 
 from __future__ import annotations
 
@@ -19,40 +19,45 @@
 from .views import RunnerView
 
 FIRST_BYTE_FACTOR = 2.0
-"""How many times a route's objective a runner may take to its first byte before a
-request that may be repeated goes to another one. At twice the objective the answer is
-late anyway, and what still comes then usually comes soon."""
+"""First-byte timeout of a repeatable request, as a multiple of its route's latency
+objective. At twice the objective the answer is late anyway, and an answer that is still
+coming usually arrives soon after."""
 
 FIRST_BYTE_SHARE = 0.4
-"""And how much of the time that is left, so that another runner has more than half."""
+"""First-byte timeout as a share of the remaining time, if that is less. It leaves more
+than half of that time to another runner."""
 
 STALL_FACTOR = 4.0
 STALL_SECONDS = 1.0
-"""Silence in the middle of a stream after which it goes on at another runner: so many
-times the longest pause that callers aim at, and not less than this. A runner that
-makes room for more urgent work is silent for some hundreds of milliseconds."""
+"""Stall timeout of a stream: a multiple of the longest gap between events that the
+route aims for, but at least ``STALL_SECONDS``. After it the stream is resumed at
+another runner. A runner that preempts a stream for more urgent work sends nothing for
+some hundreds of milliseconds."""
 
 UNRESPONSIVE_SECONDS = 0.5
-"""Wait after which an answer that hasn't begun says something of the runner. A route's
-own time may be shorter than its work takes, which says nothing."""
+"""Shortest wait for the first byte that counts as a failure of the runner. A route's
+timeout may be shorter than its work takes, which is no evidence against the runner."""
 
 QUEUED_PROMPTS = 2.0
-"""Prompts that wait at a runner, of the usual length, from which on its order of work
-is told to it: a new prompt then waits about as long as it takes to read itself."""
+"""Prompts of average length queued at a runner above which requests carry the priority
+that includes their route. A new prompt then waits about as long as its own prefill
+takes."""
 
 
 MISDIRECTED = 421
-"""Status by which a runner says that the request is meant for another one."""
+"""Status with which a runner rejects a request addressed to another runner."""
 
 SUCCESS_STATUSES = range(200, 300)
 
 
 @attrs.frozen
 class StalledStream:
-    """A run whose stream is silent for long, and may go on yet.
+    """The open run of a stream that stalled and may still continue.
 
     Attributes:
-        splitter: Has the part of an event that came last.
+        connection: Connection to the runner.
+        answer: Head of the runner's answer.
+        splitter: Holds the incomplete event received last.
     """
 
     connection: RunnerConnection
@@ -61,13 +66,13 @@
 
 
 class Attempt:
-    """One runner's turn.
+    """Sends a request to one runner and passes its answer on to the caller.
 
     Args:
-        call: The request.
+        context: The request and its state.
         view: The runner.
-        take_over: Called when this runner has begun a stream, before the caller gets
-            any of it.
+        on_stream_start: Called when this runner has sent the first events of a stream,
+            before the caller receives any of them.
     """
 
     def __init__(
@@ -86,11 +91,11 @@
 
     @property
     def stalled(self) -> bool:
-        """Whether it failed by a silence, and its run may go on; `close` ends it."""
+        """Whether the stream stalled and its run is still open; `close` ends it."""
         return self._stalled is not None
 
     async def resume(self) -> Answered | AttemptFailed:
-        """Pass on what the runner of a stalled stream still sends."""
+        """Wait for the rest of a stalled stream and pass it on."""
         stalled, self._stalled = self._stalled, None
         assert stalled is not None
         connection, splitter = stalled.connection, stalled.splitter
@@ -111,13 +116,13 @@
                 await self._release(connection, reusable)
 
     async def close(self) -> None:
-        """End the run of a stalled stream."""
+        """End the run of a stalled stream, if there is one."""
         stalled, self._stalled = self._stalled, None
         if stalled is not None:
             await self._release(stalled.connection, reusable=False)
 
     async def run(self) -> Answered | AttemptFailed:
-        """Send the request and pass on what the runner answers."""
+        """Send the request to the runner and pass on its answer."""
         services = self._context.services
         services.runners.note_sent(
             self._view,
@@ -147,7 +152,11 @@
                 await self._release(connection, reusable)
 
     def _handle_connection_error(self, error: ConnectionFailed) -> AttemptFailed:
-        """Take in that the connection failed."""
+        """Record a failed connection and return the outcome of the attempt.
+
+        While this host's event loop is late, a timeout isn't recorded against the
+        runner.
+        """
         late = self._context.services.pressure.is_late(time.monotonic())
         if not (error.silent and late):
             self._record_connection_error(error)
@@ -158,7 +167,10 @@
     async def _release(
         self, connection: RunnerConnection | None, reusable: bool
     ) -> None:
-        """End the runner's turn; it stops its work if the connection isn't kept."""
+        """End the attempt and discard a connection that can't be reused.
+
+        Closing the connection makes the runner stop its work.
+        """
         services = self._context.services
         services.runners.note_ended(self._view)
         if connection is not None and not reusable:
@@ -168,7 +180,11 @@
     async def _send_and_relay(
         self, connection: RunnerConnection
     ) -> tuple[Answered | AttemptFailed, bool]:
-        """Send the request on a connection; return also whether that can be kept."""
+        """Send the request on a connection and pass on the answer.
+
+        Returns:
+            The outcome, and whether the connection can be reused.
+        """
         context = self._context
         request = context.request
         began_at = time.monotonic()
@@ -193,7 +209,7 @@
                     chunks = connection.receive_body()
                     first_events = await self._receive_events(chunks, splitter)
         except anyio.get_cancelled_exc_class():
-            # The caller has left; how long it waited says something all the same.
+            # The caller disconnected. Its wait still counts as a sample.
             self._record_timeout(began_at)
             raise
         if answer is None or scope.cancelled_caught:
@@ -218,9 +234,9 @@
         )
 
     def _record_timeout(self, began_at: float) -> None:
-        """Take in a wait in vain for the first byte of an answer."""
+        """Record that the first byte of an answer didn't arrive in time."""
         if self._context.services.pressure.is_late(time.monotonic()):
-            # What came in time was seen too late here; runners aren't to blame.
+            # This host's event loop is late, so the answer may have arrived in time.
             return
         self._record_prompt_wait(began_at, abandoned=True)
         if time.monotonic() - began_at >= UNRESPONSIVE_SECONDS:
@@ -228,10 +244,15 @@
             self._record_failure(certain=False)
 
     def _record_connection_time(self, seconds: float, now: float) -> None:
-        """Take in how long a connection took, if it tells of this host's link.
+        """Record how long it took to connect, as a sample of this host's link.
 
-        Behind a cut between data centres connections time out as well, and those that
-        are kept tell nothing; only the own data centre's runners are always as near.
+        Only connections to runners in the same data centre count, as their distance is
+        constant. Others also time out during a network partition between data centres,
+        and reused connections give no sample.
+
+        Args:
+            seconds: Time to connect, seconds.
+            now: Monotonic time, seconds.
         """
         services = self._context.services
         if self._view.runner.data_centre == services.data_centre:
@@ -253,7 +274,7 @@
         )
 
     def _is_queueing(self) -> bool:
-        """Return whether requests wait at a runner, so that their order matters."""
+        """Return whether enough prompts queue at the runner for order to matter."""
         mean = self._context.services.runners.mean_tokens
         queued_tokens = self._view.estimate_unread(mean, time.monotonic())
         return (
@@ -269,7 +290,10 @@
         return answer
 
     def _compute_first_byte_timeout(self) -> float:
-        """Return how long this attempt may take to its first byte, seconds."""
+        """Return the timeout for the first byte of this attempt, seconds.
+
+        The last attempt, and one that can't be repeated, may use all remaining time.
+        """
         route = self._context.route
         remaining = self._context.get_remaining_seconds()
         is_last = self._context.counted_attempts >= route.max_runners
@@ -283,17 +307,17 @@
         answer: RunnerAnswer,
         began_at: float,
     ) -> tuple[Answered | AttemptFailed, bool]:
-        """Receive a whole answer, and pass it on if it is sound."""
+        """Receive the body of a non-streaming answer and pass it on if it is valid."""
         body = b"".join([chunk async for chunk in connection.receive_body()])
         reusable = self._return_to_pool(connection, answer)
         if answer.not_run:
             self._context.may_have_run = self._may_have_run_before
             if answer.status == MISDIRECTED:
-                # The runner that it was meant for is gone and never got it; the one
-                # that has its address now was not chosen, and hasn't run it either.
-                # Counted, the only attempt of many routes was spent on it: a quarter
-                # of all runners crashed at once, and 500 callers were refused while
-                # the others had room.
+                # The intended runner is gone and never received the request, and the
+                # runner that now has its address hasn't run it either. Counting this
+                # attempt used up the only one that many routes allow: when a quarter
+                # of all runners crashed at once, 500 callers were refused although
+                # the other runners had capacity.
                 self._context.counted_attempts -= 1
             self._record_rejection(answer)
             detail = f"rejected with {answer.status}"
@@ -321,7 +345,7 @@
         return Answered(answer.status, self._view.runner.name), reusable
 
     async def _receive_events(self, chunks: Any, splitter: EventSplitter) -> bytes:
-        """Return the next events that the caller lacks; empty at the stream's end."""
+        """Return the next events that the caller lacks; empty at the end."""
         async for chunk in chunks:
             data = self._context.progress.select_new(splitter.feed(chunk))
             if data:
@@ -336,15 +360,15 @@
         splitter: EventSplitter,
         data: bytes,
     ) -> tuple[Answered | AttemptFailed, bool]:
-        """Pass on a stream whose first events have come, to its end."""
+        """Pass on a stream to its end, beginning with the events already received."""
         if not self._context.response.started and not answer.sealed:
             return AttemptFailed(FailureKind.BROKEN, "a stream without a seal"), False
         with anyio.move_on_after(self._context.get_remaining_seconds()):
             while data:
                 await self._send_chunk(answer, data)
                 if not self._may_fail_over():
-                    # The time that is left bounds it already, and a bound for each
-                    # event is dear where streams are most of the work.
+                    # The remaining time already bounds the wait, and a timeout for each
+                    # event is expensive where streams are most of the work.
                     data = await self._receive_events(chunks, splitter)
                     continue
                 data = b""
@@ -368,12 +392,12 @@
         )
 
     def _may_fail_over(self) -> bool:
-        """Return whether a stream that stalls may go on at another runner."""
+        """Return whether a stalled stream may be resumed at another runner."""
         route = self._context.route
         return route.resumable and self._context.counted_attempts < route.max_runners
 
     def _compute_stall_timeout(self) -> float:
-        """Return how long a stream may be silent before it goes on elsewhere."""
+        """Return the time without events after which a stream is stalled, seconds."""
         return max(STALL_SECONDS, STALL_FACTOR * self._context.route.gap)
 
     def _return_to_pool(
@@ -387,7 +411,7 @@
         return True
 
     def _record_success(self, began_at: float) -> None:
-        """Take in that the runner gives a sound answer."""
+        """Record that the runner has begun a valid answer."""
         context, now = self._context, time.monotonic()
         context.services.runners.note_answer(self._view, now - began_at, now)
         context.services.suspects.note_good(context.fingerprint, now)
@@ -398,7 +422,12 @@
             context.services.runners.note_prefix(shared.name, self._view, now)
 
     def _record_prompt_wait(self, began_at: float, abandoned: bool) -> None:
-        """Take in how long a prompt waited at the runner."""
+        """Record how long the prompt waited at the runner.
+
+        Args:
+            began_at: When the request was sent, monotonic seconds.
+            abandoned: Whether the wait ended without an answer.
+        """
         if self._context.request.parts:
             now = time.monotonic()
             runners = self._context.services.runners
@@ -417,12 +446,13 @@
             )
 
     def _record_limit(self, answer: RunnerAnswer, sent_at: float) -> None:
-        """Take in the limit that the runner names, or that it names none any more."""
+        """Record the rate limit in an answer, or that the runner has none any more."""
         context = self._context
         if answer.status == MISDIRECTED or answer.identity != context.request.identity:
             return
         if answer.limit is None and answer.status not in SUCCESS_STATUSES:
-            # Rejections and errors may be made before the runner looks at the rest.
+            # A rejection or error may omit the limit, as it may be produced before the
+            # runner evaluates the rest of the request.
             return
         update = context.services.runners.note_limit(
             self._view, answer.limit, time.monotonic(), sent_at
--- a/knapweedrail/relay/calls.py
+++ b/knapweedrail/relay/calls.py
@@ -1,4 +1,4 @@
-"""One admitted request, what its attempts share, and what may become of each."""
+"""State of an admitted request, its dependencies, and the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FailureKind(enum.Enum):
-    """What became of an attempt at a runner that gave no answer to pass on."""
+    """How an attempt failed."""
 
     NOT_SENT = "no byte was sent"
     NOT_RUN = "the runner says that it didn't run the request"
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True)
 class AttemptFailed:
-    """An attempt failed.
+    """Outcome of an attempt that gave the caller no complete answer.
 
     Attributes:
-        failure: How.
-        detail: What was seen.
-        answer: A runner's own failure, which may be passed on as it is.
-        body: That answer's body.
-        runner: Name of the runner.
+        kind: How it failed.
+        detail: Cause of the failure.
+        answer: Error answer of the runner, which may be passed on unchanged.
+        body: Body of that answer.
+        runner: Name of the runner that sent it.
     """
 
     kind: FailureKind
@@ -55,10 +55,11 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """The caller has its answer.
+    """The caller has received a complete answer.
 
     Attributes:
-        runner: Name of the runner that gave its end.
+        status: HTTP status.
+        runner: Name of the runner that sent the end of the answer.
     """
 
     status: int
@@ -67,7 +68,23 @@
 
 @attrs.frozen(kw_only=True)
 class Services:
-    """What exchanges share."""
+    """Dependencies that all requests of a relay share.
+
+    Attributes:
+        codec: Encodes requests and decodes answers of the platform's protocol.
+        pool: Connections to runners.
+        runners: Known runners and their state.
+        retries: Retry budget of this relay.
+        data_centre: Name of this host's data centre.
+        suspects: Requests that may crash runners.
+        tell_suspects: Sends lines about suspects to the other relays.
+        pressure: Load of this host.
+        count_relays: Returns the number of relays.
+        note_successor: Reports that a runner's address now belongs to the runner of
+            the given name.
+        tell_limit: Sends a runner's rate limit to the other relays.
+        unknown_headers: Logs unknown headers of runners' answers.
+    """
 
     codec: Codec
     pool: ConnectionPool
@@ -87,21 +104,22 @@
 
 @attrs.define(kw_only=True)
 class RequestContext:
-    """One admitted request, and how far it has come.
+    """One admitted request and the state that its attempts share.
 
     Attributes:
-        body: Its whole body.
-        account: Name of its client account, if it has one.
-        ranks: Its urgency.
-        fingerprint: What tells its content from others.
-        ends_at: When its caller, or its route, has waited long enough.
-        delivery: Its answer.
-        progress: Which events of a stream its caller has.
-        arrivals: Runners that it was sent to, without those that were gone and whose
-            address another one had.
-        may_have_run: Whether a runner may have begun to work on it. Set before the
-            first byte is sent, so that a caller that leaves right after it doesn't
-            make its tokens free.
+        body: Complete request body.
+        account: Name of the client account; ``None`` if the route needs no key.
+        priorities: Priorities to send to runners.
+        fingerprint: Hash that identifies the content of the request.
+        deadline_at: Earlier of the caller's deadline and the route's timeout, monotonic
+            seconds.
+        response: Response to the caller.
+        progress: Events of a stream that the caller has received.
+        counted_attempts: Attempts that count against the route's limit. Not counted
+            are those where another runner answered at the address.
+        may_have_run: Whether a runner may have begun to work on the request. It is set
+            before the first byte is sent, so that the prompt is charged even if the
+            caller disconnects right after.
     """
 
     services: Services
@@ -119,5 +137,5 @@
     may_have_run: bool = False
 
     def get_remaining_seconds(self) -> float:
-        """Return the seconds that are left."""
+        """Return the time to the deadline, seconds; negative after it."""
         return self.deadline_at - time.monotonic()
--- a/knapweedrail/relay/exchanges.py
+++ b/knapweedrail/relay/exchanges.py
@@ -1,4 +1,4 @@
-"""One caller's request, from its admission to its answer."""
+"""Forwarding of one admitted request, with retries and failover of streams."""
 
 from __future__ import annotations
 
@@ -19,36 +19,40 @@
 from .views import RunnerView
 
 HANDOVER_SECONDS = 0.3
-"""How long the run of a stalled stream is kept while another runner is asked to go on
-with it: one that is full says so within some milliseconds. Runs of one request may
-overlap for 0.4 s, of which a host's way to the runner takes a part."""
+"""Time for which the run of a stalled stream stays open while another runner is asked
+to resume it. A full runner rejects the request within some milliseconds. Runs of one
+request may overlap for 0.4 s, and the network latency to the runner uses part of it."""
 
 MAX_FAILED_CONNECTS = 4
-"""Runners tried that take no connection. Nothing has run there, so only the caller's
-time is spent."""
+"""Connection failures after which a request is given up. Nothing has run at these
+runners, so they cost only the caller's time and don't count as attempts."""
 
 RETRY_AFTER_SECONDS = (0.3, 0.9)
-"""Bounds of the time after which a caller may come back, drawn at random: by then a
-burst of short work has passed, and callers refused together don't return together."""
+"""Range of the randomized retry-after time of a refused caller. By then a burst of
+short requests has passed, and callers refused together don't retry together."""
 
 ROTATION_JITTER_SECONDS = (0.05, 0.25)
-"""Bounds of what is added to the time until the balancer sends callers elsewhere, so
-that they don't arrive there together."""
+"""Range of the jitter added to the time until the load balancer sends callers to other
+hosts, so that they don't arrive there together."""
 
 
 @dataclass(frozen=True)
 class Broken:
-    """The caller has part of a stream, and the rest can't be had."""
+    """The caller has received part of a stream, and the rest isn't available.
+
+    Attributes:
+        detail: Cause of the failure.
+    """
 
     detail: str
 
 
 class RequestForwarder:
-    """Has a request answered, by as many runners as it may be sent to.
+    """Forwards one request to runners until one answers it.
 
     Args:
-        call: The request.
-        reservation: Tokens set aside for it.
+        context: The request and its state.
+        reservation: Tokens reserved for it.
     """
 
     def __init__(self, context: RequestContext, reservation: Reservation) -> None:
@@ -63,7 +67,7 @@
         return self._context.route
 
     async def run(self) -> Answered | Broken | Refusal:
-        """Send the request to runners until one answers, or none may any more."""
+        """Send the request to runners until one answers or no attempt is left."""
         try:
             return await self._forward()
         finally:
@@ -71,7 +75,7 @@
             await self._close_stalled()
 
     def abort(self) -> Broken | Refusal:
-        """Return the final answer to a request that this process ends too soon for."""
+        """Return the outcome of a request that this process's shutdown ends early."""
         context = self._context
         detail = "this host stopped before the answer ended"
         log_event(
@@ -119,7 +123,7 @@
                 )
 
     async def _attempt_runner(self, view: RunnerView) -> Answered | AttemptFailed:
-        """Give a runner its turn."""
+        """Send the request to a runner, ending a stalled run after a grace period."""
         attempt = Attempt(self._context, view, self._close_stalled)
         if self._stalled is None:
             outcome = await attempt.run()
@@ -138,7 +142,7 @@
         await self._close_stalled()
 
     async def _close_stalled(self) -> None:
-        """End a run whose stream has stalled, if there is one."""
+        """End the run of a stalled stream, if there is one."""
         stalled, self._stalled = self._stalled, None
         if stalled is not None:
             await stalled.close()
@@ -146,11 +150,14 @@
     async def _resume_stalled(
         self, last_failure: AttemptFailed | None
     ) -> Answered | Broken | None:
-        """Wait for a stalled stream after all, if its run is still there.
+        """Return to the run of a stalled stream, if it is still open.
 
-        What goes wrong otherwise: a runner pauses to make room for more urgent work,
-        all others are full, and the caller is left with half an answer of which the
-        rest was about to come.
+        Without this, a caller would receive a truncated answer when a runner pauses its
+        stream for more urgent work and all other runners are full, although the rest
+        of the stream was about to arrive.
+
+        Returns:
+            The outcome; ``None`` if there is no open run.
         """
         while self._stalled is not None:
             stalled, self._stalled = self._stalled, None
@@ -164,7 +171,11 @@
         return None
 
     def _refuse_partitioned(self) -> Refusal | None:
-        """Refuse what runs only in data centres that can't be reached from here."""
+        """Refuse a request whose runners are all in unreachable data centres.
+
+        Returns:
+            The refusal; ``None`` if the request may go on.
+        """
         context, now = self._context, time.monotonic()
         runners, local = context.services.runners, context.services.data_centre
         if not runners.is_cut_off(local, now):
@@ -176,7 +187,11 @@
         return self._refuse(RefusalKind.FULL, Ran.NOT_RUN, detail, retry_after)
 
     def _leave_rotation(self, now: float) -> float:
-        """Leave the rotation; return when callers will be sent elsewhere, seconds."""
+        """Take this host out of the load balancer's rotation.
+
+        Returns:
+            Retry-after time until callers are sent to other hosts, seconds.
+        """
         services = self._context.services
         if services.pressure.note_cut_off(now):
             log_event(
@@ -189,7 +204,11 @@
         return services.pressure.measure_move(now) + jitter
 
     def _refuse_queue_wait(self) -> Refusal | None:
-        """Refuse a prompt that would wait until its caller gives up."""
+        """Refuse a prompt if the queues of all runners are too long.
+
+        Returns:
+            The refusal; ``None`` if the request may go on.
+        """
         context, now = self._context, time.monotonic()
         if not context.request.parts:
             return None
@@ -228,7 +247,10 @@
         )
 
     def _may_retry(self, outcome: AttemptFailed) -> bool:
-        """Return whether the request may go to another runner after this outcome."""
+        """Return whether the request may be retried at another runner.
+
+        A retry that is otherwise allowed is taken from the endpoint's retry budget.
+        """
         context, services = self._context, self._context.services
         if outcome.kind is not FailureKind.NOT_RUN and not context.route.repeatable:
             return False
@@ -245,7 +267,10 @@
     async def _finish(
         self, last_failure: AttemptFailed, outcome: AttemptFailed
     ) -> Answered | Broken | Refusal:
-        """Give the final answer after an attempt that can't be followed by another."""
+        """Return the final outcome after the last attempt.
+
+        If the runner answered with an error, that answer is passed on.
+        """
         answer, response = outcome.answer, self._context.response
         if answer is None or response.started:
             return self._fail_request(last_failure)
@@ -265,7 +290,10 @@
     def _refuse_not_run(
         self, last_failure: AttemptFailed | None, detail: str
     ) -> Refusal:
-        """Refuse what no runner has run, with the time to come back."""
+        """Refuse a request that no runner has run, with a retry-after time.
+
+        If every runner limits its rate, that includes the time until the next slot.
+        """
         context = self._context
         retry_after = draw_retry_after(context.services.rng)
         next_slot = context.services.runners.measure_next_turn(
@@ -303,7 +331,8 @@
         )
 
     def count_tokens(self) -> int:
-        """Return the tokens used: its prompt if it may have run, and its events."""
+        """Return the tokens to charge: the prompt, if the request may have run, and the
+        events passed on."""
         context = self._context
         if not context.may_have_run:
             return 0
@@ -312,14 +341,14 @@
 
 
 def draw_retry_after(rng: random.Random) -> float:
-    """Return when a refused caller may come back, seconds."""
+    """Return a random retry-after time for a refused caller, seconds."""
     return rng.uniform(*RETRY_AFTER_SECONDS)
 
 
 def _select_failure(
     last_failure: AttemptFailed | None, new: AttemptFailed
 ) -> AttemptFailed:
-    """Return the failure that says more of what became of the request."""
+    """Return the failure to report: the new one, unless it sent nothing to a runner."""
     if last_failure is None or new.kind is not FailureKind.NOT_SENT:
         return new
     return last_failure
--- a/knapweedrail/relay/gateway.py
+++ b/knapweedrail/relay/gateway.py
@@ -1,4 +1,4 @@
-"""What callers see of the relay: admission of requests, answers and refusals."""
+"""HTTP interface of the relay for callers: admission, forwarding and refusals."""
 
 from __future__ import annotations
 
@@ -36,10 +36,11 @@
 
 @attrs.frozen
 class Admission:
-    """What a request may use.
+    """Route and client account of an admitted request.
 
     Attributes:
-        account: Its client account; ``None`` on routes without keys.
+        route: Route of the request.
+        account: Client account; ``None`` if the route needs no key.
     """
 
     route: Route
@@ -47,15 +48,17 @@
 
 
 class Gateway:
-    """ASGI application that relays callers' requests.
+    """ASGI application that forwards callers' requests to runners.
 
     Args:
-        services: What exchanges share.
-        configuration: Follower of the configuration.
-        holdings: Keeper of prepaid tokens.
+        services: Dependencies that all requests share.
+        configuration: Source of the current configuration.
+        holdings: Prepaid tokens that this relay holds.
 
     Attributes:
-        closing: What a stop means for requests, once the process is told to.
+        under_way: Number of requests in progress.
+        last_request_at: Arrival of the latest request, monotonic seconds.
+        closing: Admission of requests while the process shuts down.
     """
 
     def __init__(
@@ -72,7 +75,7 @@
         self.closing = Closing(services.rng)
 
     async def __call__(self, scope: dict, receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if scope["type"] != "http":
             return
         self.under_way += 1
@@ -83,12 +86,13 @@
         except CallerDisconnected:
             log_event(Event.CALLER_GONE, path=scope["path"])
         except Exception as error:
-            # The server closes the connection; the caller can't take that for an
-            # answer.
+            # The server closes the connection, which the caller can't mistake for a
+            # complete answer.
             log_event(Event.TASK_FAILED, task="request", error=repr(error))
             raise
         except anyio.get_cancelled_exc_class():
-            # The server ends it, before it was admitted or while it hands bytes on.
+            # The server cancels the request, before it was admitted or while bytes are
+            # passed on.
             if not response.complete:
                 log_event(Event.REQUEST_CUT_OFF, path=scope["path"])
             raise
@@ -96,7 +100,7 @@
             self.under_way -= 1
 
     def _should_close_connections(self) -> bool:
-        """Return whether callers should open their next connection, elsewhere."""
+        """Return whether callers should reconnect, which leads them to another host."""
         return self.closing.begun or self._services.pressure.is_out(time.monotonic())
 
     async def _handle_request(
@@ -107,8 +111,8 @@
             scope["method"], scope["raw_path"], scope["query_string"], scope["headers"]
         )
         if isinstance(request, Malformed):
-            # Nobody can say where a malformed request ends: what follows it on the
-            # connection may be its body, and must not be run as a request.
+            # It isn't known where a malformed request ends. What follows it on the
+            # connection may be its body and must not be run as a request.
             response.close_connection_after()
             await self._refuse(response, "", refuse_malformed(request.reason))
             return
@@ -133,8 +137,8 @@
             await self._refuse(response, request.identity, refusal)
             return
         if self._services.pressure.refuses(self._services.rng, now):
-            # Not before the body is in: a connection that is closed with bytes unread
-            # is reset, and the caller may lose the refusal with it.
+            # Only after the body was received: closing a connection with unread bytes
+            # resets it, and the caller may lose the refusal.
             response.close_connection_after()
             refusal = refuse_overloaded(
                 self._services.pressure, now, self._services.rng
@@ -180,7 +184,7 @@
         receive: Receive,
         response: ResponseWriter,
     ) -> None:
-        """Run a request whose body is complete, until its caller leaves."""
+        """Run a request whose body is complete; cancel it if the caller disconnects."""
         async with anyio.create_task_group() as group:
 
             async def cancel_on_disconnect() -> None:
@@ -253,8 +257,8 @@
             case Refusal():
                 await self._refuse(response, request.identity, outcome)
             case Broken(detail):
-                # The answer stays without its end mark, and the server closes the
-                # connection, so that the caller can't take it for a whole one.
+                # The end of the stream isn't sent and the server closes the connection,
+                # so the caller can't mistake the answer for a complete one.
                 log_event(
                     Event.STREAM_BROKEN,
                     request=request.identity,
@@ -268,7 +272,7 @@
     async def _run_until_shutdown(
         self, forwarder: RequestForwarder
     ) -> Answered | Broken | Refusal:
-        """Run an exchange, until this process ends if it is to stop meanwhile."""
+        """Run a forwarder, and abort it if the process reaches its shutdown limit."""
         route, began_at = forwarder.route, time.monotonic()
         timing_id = self.closing.answer_times.begin(route.name, began_at)
         outcome = None
@@ -300,8 +304,8 @@
             measures.first_byte.record(first_byte_at - began_at, {"route": route})
         gap = context.response.longest_gap
         if gap is not None:
-            # Once a stream, as recording each of its parts would cost more than
-            # passing it on.
+            # Recorded once for each stream, as recording a value for each chunk would
+            # cost more than passing the chunk on.
             measures.gaps.record(gap, {"route": route})
         if not isinstance(outcome, Answered):
             return
--- a/knapweedrail/relay/refusals.py
+++ b/knapweedrail/relay/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals at the callers' door: each with its status, and when to come back."""
+"""Refusals of callers' requests, with their HTTP status and retry-after time."""
 
 from __future__ import annotations
 
@@ -17,37 +17,45 @@
     RefusalKind.DEADLINE: 504,
     RefusalKind.OUTCOME_UNKNOWN: 502,
 }
-"""HTTP status of each kind of refusal; all others say 503, which callers take as a
-promise that the request has not run."""
+"""HTTP status of each kind of refusal. All others use 503, which guarantees callers
+that the request has not run."""
 
 OUT_OF_REACH_RETRY_AFTER_SECONDS = (2.0, 3.0)
-"""Bounds of the time after which a caller whose budget is out of reach may come back:
-the store is asked again every second, and a cut seldom ends sooner."""
+"""Range of the retry-after time, in seconds, if the budget can't be reached. The store
+is queried again every second, and an outage seldom ends sooner."""
 
 OTHER_HOST_RETRY_AFTER_SECONDS = (0.01, 0.05)
-"""Bounds of the time after which a caller may come back that this host has no room
-for: it comes back on a new connection, to another host, which can serve it at once."""
+"""Range of the retry-after time, in seconds, for a caller that should use another host.
+It reconnects to another host, which can serve it at once."""
 
 QUARANTINE_RETRY_AFTER_SECONDS = 60.0
-"""When to come back with content that crashes runners: not while anybody waits."""
+"""Retry-after time for content that crashes runners, in seconds. It is longer than any
+caller waits for an answer."""
 
 
 def refuse(kind: RefusalKind, detail: str, retry_after: float | None) -> Refusal:
-    """Refuse a request that hasn't been sent to any runner."""
+    """Return a refusal of a request that hasn't been sent to any runner.
+
+    Args:
+        kind: Kind of the refusal.
+        detail: Cause, as shown to the caller.
+        retry_after: Time after which to retry, seconds; ``None`` if not to retry.
+    """
     return Refusal("relay.admit", "", detail, kind, Ran.NOT_RUN, retry_after)
 
 
 def refuse_malformed(reason: str) -> Refusal:
-    """Refuse what can't be read as a request."""
+    """Return a refusal of a malformed request."""
     return refuse(RefusalKind.BAD_REQUEST, reason, None)
 
 
 def refuse_stopping(remaining: float, slowest: float, rng: random.Random) -> Refusal:
-    """Refuse what this process may not finish.
+    """Return a refusal of a request that may not complete before shutdown.
 
     Args:
-        left: Time until it ends, seconds.
-        slowest: What answers on the route take at the most, seconds.
+        remaining: Time until this process ends, seconds.
+        slowest: Longest time that answers on the route take, seconds.
+        rng: Source of the random retry-after time.
     """
     return refuse(
         RefusalKind.STOPPING,
@@ -57,7 +65,7 @@
 
 
 def refuse_stopped(rng: random.Random) -> Refusal:
-    """Refuse what this process ends too soon for, before any runner was asked."""
+    """Return a refusal of a request that wasn't sent to a runner before shutdown."""
     return refuse(
         RefusalKind.STOPPING,
         "this host stopped before the request could run",
@@ -66,7 +74,7 @@
 
 
 def refuse_overloaded(pressure: Pressure, now: float, rng: random.Random) -> Refusal:
-    """Refuse what this host has no room for."""
+    """Return a refusal of a request that this host sheds because of its load."""
     link = pressure.measure_link(now)
     return refuse(
         RefusalKind.FULL,
@@ -78,14 +86,18 @@
 def refuse_unknown(
     kind: RefusalKind, detail: str, age: float, is_overdue: bool, rng: random.Random
 ) -> Refusal:
-    """Refuse a key or route that isn't in the configuration.
+    """Return a refusal of a key or route that isn't in the configuration.
 
-    A relay that hasn't heard from the store for a while may lack a newer version that
-    has it. Callers take "unknown" for final, so it then says "not now".
+    If the store hasn't confirmed the configuration in time, a newer version may contain
+    the key or route. Callers treat "unknown" as final, so such a refusal asks them to
+    retry instead.
 
     Args:
-        age: Time since the configuration was confirmed, seconds.
-        overdue: Whether it should have been confirmed again by now.
+        kind: Kind of the refusal if the configuration is current.
+        detail: Cause, as shown to the caller.
+        age: Time since the store confirmed the configuration, seconds.
+        is_overdue: Whether the next confirmation is overdue.
+        rng: Source of the random retry-after time.
     """
     if is_overdue:
         return refuse(
--- a/knapweedrail/relay/request_bodies.py
+++ b/knapweedrail/relay/request_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests, within the bounds of the configuration."""
+"""Receipt of request bodies, with limits on size and time."""
 
 from __future__ import annotations
 
@@ -12,27 +12,31 @@
 from .refusals import refuse
 
 SLOW_BODY_RETRY_AFTER_SECONDS = 1.0
-"""When to come back for a caller whose body was too slow: its link may be full."""
+"""Retry-after time for a caller whose body arrived too slowly, as its link may be
+congested."""
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 
 
 class CallerDisconnected(Exception):
-    """The caller has closed its connection."""
+    """The caller closed its connection before its body was complete."""
 
 
 async def receive_body(
     receive: Receive, max_bytes: int, deadline_at: float
 ) -> bytes | Refusal:
-    """Receive a whole body.
+    """Receive a whole request body.
 
     Args:
-        receive: The server's own function.
-        most: Largest size, bytes.
-        ends_at: When the caller, or the route, has waited long enough.
+        receive: ASGI function of the server.
+        max_bytes: Largest allowed size, bytes.
+        deadline_at: Deadline of the request, monotonic seconds.
+
+    Returns:
+        The body, or a refusal if it is too large or late.
 
     Raises:
-        CallerGone: If the caller leaves before it is complete.
+        CallerDisconnected: If the caller disconnects before the body is complete.
     """
     parts: list[bytes] = []
     size = 0
--- a/knapweedrail/relay/response_writer.py
+++ b/knapweedrail/relay/response_writer.py
@@ -1,4 +1,4 @@
-"""The answer to one caller: its messages, and how far it has come."""
+"""Writing of the response to one caller."""
 
 from __future__ import annotations
 
@@ -12,16 +12,18 @@
 
 
 class ResponseWriter:
-    """Sends one answer.
+    """Sends the response to one request.
 
     Args:
-        send: The server's own function.
-        is_stopping: Whether the process stops; the answer then says that its
-            connection ends with it.
+        send: ASGI function of the server.
+        should_close: Returns whether the caller's connection should be closed after
+            the response; read when the headers are sent.
 
     Attributes:
-        longest_pause: Between two parts of a stream, seconds; ``None`` before the
-            second part.
+        longest_gap: Longest time between two chunks of a stream, seconds; ``None``
+            before the second chunk.
+        first_byte_at: When the headers were sent, monotonic seconds; ``None`` before.
+        complete: Whether the end of the response has been passed to the server.
     """
 
     def __init__(self, send: Send, should_close: Callable[[], bool]) -> None:
@@ -34,23 +36,23 @@
         self.complete = False
 
     def close_connection_after(self) -> None:
-        """Let the connection end with this answer."""
+        """Close the connection after this response."""
         self._closes_connection = True
 
     @property
     def started(self) -> bool:
-        """Whether the caller has part of an answer."""
+        """Whether the headers of the response have been sent."""
         return self.first_byte_at is not None
 
     async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         length = (b"content-length", b"%d" % len(body))
         await self._start(status, [*headers, length])
         self.complete = True
         await self._send({"type": "http.response.body", "body": body})
 
     async def send_chunk(self, status: int, headers: Headers, data: bytes) -> None:
-        """Send the next part of a stream; the first one takes the headers along."""
+        """Send the next chunk of a stream, after the headers if it is the first."""
         now = time.monotonic()
         if self.started:
             gap = now - self._last_chunk_at
@@ -64,7 +66,7 @@
             )
 
     async def end(self) -> None:
-        """Send the end mark of a stream."""
+        """Send the end of a stream."""
         self.complete = True
         await self._send({"type": "http.response.body", "body": b""})
 
--- a/knapweedrail/relay/retries.py
+++ b/knapweedrail/relay/retries.py
@@ -1,6 +1,6 @@
-"""Decision: whether a request may be sent to another runner.
+"""Retry budget: limits the requests that are sent to another runner.
 
-Pure: the clock is passed in.
+The module does no I/O; the time is passed in.
 """
 
 from __future__ import annotations
@@ -8,21 +8,21 @@
 from collections import deque
 
 SAFETY_FACTOR = 0.8
-"""Part of the allowance that is used. Relays learn late how many they are, and the
-windows in which the operator counts begin at other moments than ours."""
+"""Share of the allowed retries that is used. Relays learn of changes in their number
+late, and the operator's counting windows begin at other times than this one."""
 
 
 class RetryShare:
-    """One relay's part of the retries that all relays together may make.
+    """One relay's share of the retries that all relays together may make.
 
-    The load it is for: runners that fail because they have too much to do. Each retry
-    adds to what fells them; bounded to a part of the fresh requests, the load stays
-    near to what callers sent, however much fails.
+    It prevents retry storms. When runners fail under overload, each retry adds to the
+    load. With retries limited to a fraction of new requests, the load stays close to
+    what callers send, however many requests fail.
 
     Args:
-        ratio: Retries for each fresh request, over all relays.
-        reserve: Further retries in a window, over all relays.
-        window: Length of a window, seconds.
+        ratio: Retries allowed for each new request, over all relays.
+        reserve: Additional retries allowed in a window, over all relays.
+        window: Length of the sliding window, seconds.
     """
 
     def __init__(self, ratio: float, reserve: float, window: float) -> None:
@@ -33,14 +33,24 @@
         self._retries: dict[str, deque[float]] = {}
 
     def note_fresh(self, endpoint: str, now: float) -> None:
-        """Count a caller's request."""
+        """Count a new request to an endpoint.
+
+        Args:
+            endpoint: Name of the endpoint.
+            now: Current time, seconds.
+        """
         self._requests.setdefault(endpoint, deque()).append(now)
 
     def take(self, endpoint: str, relays: int, now: float) -> bool:
-        """Take one retry, if one is left.
+        """Use one retry if the budget allows it.
 
         Args:
+            endpoint: Name of the endpoint.
             relays: Number of relays that share the reserve.
+            now: Current time, seconds.
+
+        Returns:
+            Whether the retry is allowed.
         """
         requests = self._count_recent(self._requests, endpoint, now)
         used = self._count_recent(self._retries, endpoint, now)
--- a/knapweedrail/relay/routes.py
+++ b/knapweedrail/relay/routes.py
@@ -1,4 +1,4 @@
-"""Finding a request's route and account in a configuration."""
+"""Lookup of routes, client accounts and priorities in a configuration."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from .models import Account, Configuration, Route
 
 PRIORITY_LEVELS = 10
-"""Ranks that runners tell apart, from 0, the most urgent."""
+"""Number of priority levels that runners distinguish, from 0, the most urgent."""
 
 
 @attrs.frozen
 class Priorities:
-    """Ranks that a runner may be told for one request; 0 is the most urgent.
+    """Priorities that may be sent to a runner with one request; 0 is the most urgent.
 
     Attributes:
-        calm: Among the requests of other accounts only.
-        busy: Among the requests of the same account as well. A runner lets what ranks
-            first interrupt what it has begun, so ranks that differ cost time where
-            nothing waits: told always, a tenth of all answers came late that didn't.
+        by_account: Priority by client account alone, sent while no requests queue.
+        by_account_and_route: Priority by client account, then by route, sent to runners
+            with queued requests. Runners preempt running requests for more urgent
+            ones, so different priorities cost time where nothing queues. When this
+            priority was always sent, a tenth of all answers became late.
     """
 
     by_account: int
@@ -28,10 +29,10 @@
 
 
 class RouteTable:
-    """Routes by host and path prefix, and accounts by key.
+    """Index of a configuration's routes by host and prefix, and accounts by key.
 
     Args:
-        configuration: The configuration to look up in.
+        configuration: The configuration.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -48,11 +49,11 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether callers show API keys at all."""
+        """Whether the configuration has accounts, so that callers send API keys."""
         return self.configuration.accounts is not None
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path."""
+        """Return the host's route with the longest matching prefix, if there is one."""
         end = path.rfind("/")
         while end >= 0:
             route = self._routes.get((host, path[: end + 1]))
@@ -62,10 +63,11 @@
         return None
 
     def compute_priorities(self, route: Route, account: Account | None) -> Priorities:
-        """Return a request's ranks among all others.
+        """Return the priorities of a request.
 
-        The account's rank goes first, and among requests of accounts that rank alike
-        the route's.
+        Requests are ordered by the priority of their account, and among accounts of
+        equal priority by that of their route. Without an account the route's priority
+        takes the place of the account's.
         """
         account_rank = account.rank if account is not None else None
         priority_key = _make_priority_key(route.rank, account_rank)
@@ -85,7 +87,7 @@
         )
 
     def find_account(self, key: str | None) -> Account | None:
-        """Return the account that holds a key."""
+        """Return the account that an API key belongs to."""
         return self._accounts.get(key) if key else None
 
 
@@ -94,7 +96,7 @@
 
 
 def _list_priority_keys(configuration: Configuration) -> list[tuple[int, int]]:
-    """Return all pairs of ranks that requests may have, the most urgent first."""
+    """Return the (account, route) priorities that requests may have, sorted."""
     accounts = {account.rank for account in (configuration.accounts or {}).values()}
     routes = {route.rank for route in configuration.routes}
     return sorted(
@@ -107,7 +109,7 @@
 
 
 def choose_endpoint(route: Route, rng: random.Random) -> str:
-    """Draw an endpoint by the route's weights."""
+    """Choose a random endpoint by the weights of the route's traffic split."""
     if len(route.shares) == 1:
         return route.shares[0].endpoint
     weights = [share.weight for share in route.shares]
--- a/knapweedrail/relay/streams.py
+++ b/knapweedrail/relay/streams.py
@@ -1,7 +1,8 @@
-"""Event streams: whole events out of bytes, without gaps or repetitions.
+"""Parsing of server-sent event streams and tracking of the events passed on.
 
-Pure. A runner may stop in the middle of an event, and another one then goes on after
-the last event that the caller has; so only whole events are passed on, and each once.
+A runner may fail in the middle of an event, and another one then resumes after the
+last event that the caller has. So only complete events are passed on, and each once.
+The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 
 @attrs.frozen
 class StreamEvent:
-    """One event.
+    """One server-sent event.
 
     Attributes:
-        data: Its bytes, with the blank line that ends it.
-        number: Its number; ``None`` for one without.
+        data: Its bytes, including the blank line that ends it.
+        event_id: Value of its ``id`` field; ``None`` if it has none.
     """
 
     data: bytes
@@ -28,18 +29,18 @@
 
 
 class EventSplitter:
-    """Cuts the bytes of one run into events."""
+    """Splits the bytes of one run into events."""
 
     def __init__(self) -> None:
         self._remainder = b""
 
     @property
     def remainder(self) -> bytes:
-        """Bytes after the last whole event."""
+        """Bytes after the last complete event."""
         return self._remainder
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take in bytes and return the events that they complete."""
+        """Append bytes and return the events that they complete."""
         data = self._remainder + data
         events = []
         start = 0
@@ -53,10 +54,14 @@
 
 
 class StreamProgress:
-    """Which events a caller has, over all runs of its request.
+    """Tracks which events a caller has received over all runs of its request.
 
     Args:
-        last: Number of the last event that the caller came with, if it resumes.
+        last_event_id: ``Last-Event-ID`` of the request, if the caller resumes a stream.
+
+    Attributes:
+        last_event_id: ID of the last event passed on, initially that of the request.
+        event_count: Events passed on by this relay.
     """
 
     def __init__(self, last_event_id: int | None) -> None:
@@ -64,7 +69,7 @@
         self.event_count = 0
 
     def select_new(self, events: list[StreamEvent]) -> bytes:
-        """Return the bytes of those events that the caller doesn't have yet."""
+        """Return the bytes of the events that the caller lacks and count them."""
         data = []
         for event in events:
             if event.event_id is not None:
--- a/knapweedrail/relay/unknown_headers.py
+++ b/knapweedrail/relay/unknown_headers.py
@@ -1,24 +1,29 @@
-"""Headers of runners' answers whose meaning isn't known."""
+"""Logging of unknown headers in runners' answers."""
 
 from __future__ import annotations
 
 from ..events import Event, log_event
 
 MAX_NAMES = 50
-"""Names that are told of; a runner could make up any number of them."""
+"""Limit on the names logged, as a runner could send any number of different ones."""
 
 
 class UnknownHeaderLog:
-    """Tells once of each header that no relay reads.
+    """Logs each unknown response header once.
 
-    Runners may be newer than relays, and say what a relay should heed.
+    Runners may be newer than the relays and send headers that a relay should evaluate.
     """
 
     def __init__(self) -> None:
         self._names: set[str] = set()
 
     def record(self, names: tuple[str, ...], runner: str) -> None:
-        """Take in the names of an answer."""
+        """Log the names that haven't been logged yet.
+
+        Args:
+            names: Unknown header names of an answer.
+            runner: Name of the runner that sent them.
+        """
         for name in names:
             if name not in self._names and len(self._names) < MAX_NAMES:
                 self._names.add(name)
--- a/knapweedrail/tests/relays_in_memory.py
+++ b/knapweedrail/tests/relays_in_memory.py
@@ -1,4 +1,4 @@
-"""Relays in one process: a store in memory, runners that follow a script, callers."""
+"""Test doubles: relays in one process, in-memory store, scripted runners."""
 
 from __future__ import annotations
 
@@ -54,10 +54,17 @@
 
 
 class MemoryStore(Store):
-    """One store of objects; `fate` says what becomes of the next writes.
+    """In-memory store with fault injection.
 
-    A fate is ``"answer"``, ``"lose"`` (done, not answered), ``"drop"`` (not done, not
-    answered) or ``"away"``.
+    Attributes:
+        fates: Results of the next writes, in order: ``"answer"`` (normal),
+            ``"lose"`` (applied, reply lost), ``"drop"`` (not applied, no reply) or
+            ``"away"`` (store unavailable). Normal after the last.
+        away: Whether all calls fail because the store can't be reached.
+        writes: Number of applied writes.
+        conflicts: Number of writes rejected for their revision.
+        peeks: Number of calls of `peek`.
+        stale: Old objects that `peek` returns instead of the current ones.
     """
 
     def __init__(self) -> None:
@@ -100,7 +107,7 @@
         return Written(0)
 
     def put(self, kind: str, name: str, spec: Any) -> StoredObject:
-        """Write without condition."""
+        """Write an object unconditionally."""
         self.revision += 1
         stored = StoredObject(name, self.revision, copy.deepcopy(spec))
         self.objects[kind, name] = stored
@@ -130,12 +137,14 @@
 
 @attrs.define
 class ScriptedRunner:
-    """A runner that reads requests and answers by a function of its own.
+    """A runner that answers requests with a given function.
 
     Attributes:
         respond: Takes the connection and the request's head; returns whether the
             connection stays open.
-        heads: Heads of all requests that arrived.
+        heads: Heads of all received requests.
+        bodies: Bodies of all received requests.
+        address: Address it listens on, set by `serve`.
     """
 
     respond: Callable[[anyio.abc.SocketStream, str], Any]
@@ -144,7 +153,7 @@
     address: str = ""
 
     async def serve(self, group: anyio.abc.TaskGroup) -> None:
-        """Listen, and answer in ``group``."""
+        """Listen on a free port and answer requests in ``group``."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         self.address = f"127.0.0.1:{port}"
@@ -172,7 +181,7 @@
 
 
 def find_header(head: str, name: str) -> str | None:
-    """Return the value of a header."""
+    """Return the value of a header; ``name`` is in lower case."""
     for line in head.split("\r\n")[1:]:
         key, _, value = line.partition(":")
         if key.strip().lower() == name:
@@ -183,7 +192,7 @@
 def make_answer(
     head: str, body: bytes = b"ok", status: int = 200, **extra_headers: str
 ) -> bytes:
-    """Return a sound answer to a request, with a seal."""
+    """Return a valid answer to a request, with the response seal."""
     lines = [
         f"HTTP/1.1 {status} X",
         f"Knapweedrail-Request-Id: {find_header(head, 'knapweedrail-request-id')}",
@@ -197,7 +206,7 @@
 
 
 async def answer_well(stream: anyio.abc.SocketStream, head: str) -> bool:
-    """Answer as a sound runner does; for `ScriptedRunner`."""
+    """Answer like a healthy runner; a `ScriptedRunner.respond` function."""
     await stream.send(make_answer(head))
     return True
 
@@ -218,7 +227,7 @@
 
 
 def make_event(number: int) -> bytes:
-    """Return one event."""
+    """Return one server-sent event."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
@@ -254,7 +263,7 @@
 
 @attrs.define
 class Answer:
-    """What a caller got; ``whole`` says whether its end was told."""
+    """Response that a caller received; ``whole`` says whether its end was sent."""
 
     status: int = 0
     headers: dict[str, str] = attrs.field(factory=dict)
@@ -264,7 +273,7 @@
 
 @attrs.define
 class MemoryRelay:
-    """One relay without servers of its own."""
+    """One relay without HTTP and gRPC servers; `call` invokes its ASGI application."""
 
     store: MemoryStore
     gateway: Gateway
@@ -283,7 +292,14 @@
         body_takes: float = 0.0,
         **headers: str,
     ) -> Answer:
-        """Send one request as a caller would."""
+        """Send one request as a caller does.
+
+        Args:
+            leaves_after: Time until the caller disconnects, seconds; ``None`` to
+                stay connected.
+            body_takes: Time until the body arrives, seconds.
+            headers: Further headers, with underscores for hyphens.
+        """
         sent = {
             "host": "h.example",
             "knapweedrail-request-id": "id-1",
@@ -335,10 +351,10 @@
     host: str = "host",
     others: Iterable[str] = (),
 ) -> AsyncIterator[MemoryRelay]:
-    """Run a relay before runners that follow scripts.
+    """Run a relay with scripted runners.
 
     Args:
-        others: Other hosts that it knows of.
+        others: Names of the other hosts that it knows.
     """
     store = store or MemoryStore()
     table = RunnerTable(doubt=1.9)
--- a/knapweedrail/tests/test_relay_deployments.py
+++ b/knapweedrail/tests/test_relay_deployments.py
@@ -1,4 +1,4 @@
-"""Deployments unlike today's: no accounts, no budgets, no runners, many endpoints."""
+"""Tests of unusual deployments: no accounts, budgets or runners, several endpoints."""
 
 import attrs
 import pytest
@@ -73,7 +73,7 @@
 
 
 async def test_single_relay_can_reserve_most_of_the_budget():
-    """One relay is all there is, and a request needs most of what is left."""
+    """The only relay must be able to reserve most of the remaining budget."""
     configuration = make_configuration(SAFE, prepaid=1000)
     async with run_relay(configuration, ScriptedRunner(answer_well)) as relay:
         answer = await relay.call(knapweedrail_token_usage="700,200")
@@ -87,7 +87,8 @@
 
 
 async def test_unparsable_request_headers_are_ignored():
-    """A caller writes its headers wrong. It is served as if it had said nothing."""
+    """Token usage, deadline, prompt prefix and event ID that can't be parsed are
+    treated as missing."""
     runner = ScriptedRunner(answer_well)
     async with run_relay(make_configuration(SAFE, prepaid=10), runner) as relay:
         answer = await relay.call(
--- a/knapweedrail/tests/test_relay_exchanges.py
+++ b/knapweedrail/tests/test_relay_exchanges.py
@@ -1,4 +1,4 @@
-"""Requests and answers between callers and runners that misbehave."""
+"""Tests of request forwarding with faulty runners and callers."""
 
 import time
 
@@ -55,8 +55,9 @@
 
 
 async def test_duplicate_answer_is_not_used_for_the_next_request():
-    """A faulty runner answers one request twice. The spare answer waits on the kept
-    connection, and whoever uses that next would get another caller's answer."""
+    """A faulty runner answers one request twice. The second answer stays in the buffer
+    of the pooled connection, and the next request on it would get another caller's
+    answer."""
 
     async def answer_twice(stream, head):
         await stream.send(make_answer(head, b"own") + make_answer(head, b"spare"))
@@ -71,8 +72,8 @@
 
 
 async def test_late_duplicate_answer_closes_the_pooled_connection():
-    """The runner's second answer comes a moment after the first, when the connection
-    is idle already."""
+    """The runner's second answer arrives when the connection is already idle in the
+    pool."""
 
     async def answer_twice(stream, head):
         await stream.send(make_answer(head, b"own"))
@@ -90,7 +91,8 @@
 
 
 async def test_answer_to_another_request_is_not_passed_on():
-    """The runner mixes up its callers. A caller would read someone else's answer."""
+    """A faulty runner answers with another request's identity. The caller must not get
+    another caller's answer."""
 
     async def answer_other(stream, head):
         await stream.send(make_answer(head.replace("id-1", "id-9"), b"theirs"))
@@ -104,8 +106,9 @@
 
 
 async def test_non_repeatable_request_is_not_retried_after_a_lost_answer():
-    """The runner resets the connection after it has read the request. It may have run;
-    a second run would send two gangs to one farm, and "not run" would be a lie."""
+    """The runner closes the connection after it has read the request, which may have
+    run. A retry could run it twice, such as send two gangs to one farm, and a refusal
+    as "not run" would be false."""
 
     async def close_connection(stream, head):
         return False
@@ -118,7 +121,7 @@
 
 
 async def test_repeatable_request_is_retried_at_another_runner():
-    """The first runner breaks off each answer. The caller notices nothing."""
+    """One runner closes the connection without an answer; callers must not notice."""
 
     async def close_connection(stream, head):
         return False
@@ -130,7 +133,7 @@
 
 
 async def test_rejected_non_repeatable_request_is_retried():
-    """A full runner says that it hasn't run the request; another has room."""
+    """A full runner rejects the request as not executed, and another has capacity."""
 
     async def reject(stream, head):
         await stream.send(make_answer(head, b"", 503, Knapweedrail_Not_Executed="1"))
@@ -143,7 +146,7 @@
 
 
 async def test_request_rejected_by_every_runner_is_refused_as_not_run():
-    """All runners are full. The caller is told at once, and when to come back."""
+    """All runners are full. The caller is refused at once, with a retry-after time."""
 
     async def reject(stream, head):
         await stream.send(make_answer(head, b"", 503, Knapweedrail_Not_Executed="1"))
@@ -157,8 +160,8 @@
 
 
 async def test_failed_connection_does_not_count_as_attempt():
-    """A runner has died, and its entry is still listed. Nothing was sent to it, so a
-    call that may run once goes to another one."""
+    """A runner has crashed but is still listed. Nothing was sent to it, so even a
+    non-repeatable request goes to another runner."""
     runner = ScriptedRunner(answer_well)
     async with run_relay(make_configuration(ONCE), runner) as relay:
         from .relays_in_memory import make_runner
@@ -180,8 +183,8 @@
 
 
 async def test_broken_stream_resumes_at_another_runner_without_gap_or_duplicate():
-    """A runner stops in the middle of the second event. Another one goes on after the
-    first, and the caller sees one stream."""
+    """A runner fails in the middle of the second event. Another one resumes after the
+    first, and the caller receives one continuous stream."""
 
     async def break_mid_event(stream, head):
         if find_header(head, "last-event-id"):
@@ -199,8 +202,8 @@
 
 
 async def test_stalled_stream_resumes_at_another_runner():
-    """A runner goes dark in the middle of its stream, without closing anything. The
-    caller would give up after two seconds."""
+    """A runner stops sending in the middle of its stream, without closing the
+    connection. The stream must resume before the caller's timeout of two seconds."""
 
     async def stall(stream, head):
         if find_header(head, "last-event-id"):
@@ -218,8 +221,8 @@
 
 
 async def test_broken_non_resumable_stream_is_left_incomplete():
-    """The runner breaks off a stream that another can't go on with. The caller must
-    not take the part for the whole."""
+    """The runner breaks off a stream that no other can resume. The caller must not
+    mistake the part for the complete answer."""
 
     async def break_mid_event(stream, head):
         await stream.send(make_stream_head(head) + make_chunk(make_event(1)))
@@ -233,7 +236,8 @@
 
 
 async def test_caller_disconnect_closes_the_runner_connection():
-    """A caller closes its connection. The runner would go on working for nobody."""
+    """A caller disconnects. Unless its connection is closed, the runner would continue
+    work that nobody waits for."""
     ended = anyio.Event()
 
     async def run_long(stream, head):
@@ -250,8 +254,8 @@
 
 
 async def test_route_timeout_ends_the_request():
-    """A runner takes a request and never answers. The caller hears at the route's own
-    time, not at its deadline."""
+    """A runner accepts a request and never answers. The caller is refused at the
+    route's timeout, which is earlier than its deadline."""
 
     async def never_answer(stream, head):
         await anyio.sleep(10)
@@ -265,8 +269,8 @@
 
 
 async def test_unknown_key_or_route_is_final_only_with_a_confirmed_configuration():
-    """A relay that was cut off from the store may lack a new key. "Unknown" would be
-    final for its caller, and untrue."""
+    """A relay that can't reach the store may lack a new key. Refusing the key as
+    unknown would be final for the caller, and wrong."""
     async with run_relay(make_configuration(SAFE), ScriptedRunner(answer_well)) as r:
         assert (await r.call(knapweedrail_key="other")).status == 401
         assert (await r.call(path="/b/x")).status == 404
@@ -277,7 +281,8 @@
 
 @pytest.mark.parametrize("late, status", [(0.5, 401), (1.5, 503)])
 async def test_unknown_key_is_final_only_within_the_confirmation_interval(late, status):
-    """Guards against final refusals by a relay whose watch the store has lost."""
+    """Guards against final refusals by a relay whose watch no longer gets updates from
+    the store."""
     async with run_relay(make_configuration(SAFE), ScriptedRunner(answer_well)) as r:
         r.configuration.confirmed_at = time.monotonic() - WATCH_SECONDS - late
         assert (await r.call(knapweedrail_key="other")).status == status
@@ -291,8 +296,8 @@
 
 
 async def test_tokens_are_charged_for_delivered_events():
-    """Prompt once, and one token for each event that was passed on; the rest of the
-    largest answer comes back."""
+    """Charged are the prompt, once, and one token for each event passed on. The rest of
+    the reservation for the largest answer is released."""
     configuration = make_configuration(STREAM, prepaid=1000)
     async with run_relay(configuration, ScriptedRunner(stream_three_events)) as relay:
         await relay.call(knapweedrail_token_usage="100,50")
@@ -302,7 +307,7 @@
 
 
 async def test_request_above_the_budget_is_refused_before_it_runs():
-    """The account has fewer tokens than the request may use."""
+    """The account has fewer tokens left than the request may use."""
     configuration = make_configuration(STREAM, prepaid=120)
     runner = ScriptedRunner(stream_three_events)
     async with run_relay(configuration, runner) as relay:
@@ -313,8 +318,8 @@
 
 
 async def test_unreachable_budget_is_not_reported_as_spent():
-    """The store is away, and the relay holds nothing. The caller is told to come back
-    soon, at once, not that its budget is spent."""
+    """The store is unavailable and the relay holds no tokens. The caller is asked at
+    once to retry soon, and isn't refused for a spent budget."""
     configuration = make_configuration(STREAM, prepaid=1000)
     runner = ScriptedRunner(stream_three_events)
     async with run_relay(configuration, runner) as relay:
@@ -328,9 +333,9 @@
 
 
 async def test_prompt_is_charged_when_the_caller_disconnects():
-    """The runner has read the prompt when the caller closes its connection. If its
-    tokens came back, whoever leaves early could use the engine for nothing, and the
-    account would spend more than it prepaid."""
+    """The runner has read the prompt when the caller disconnects. If its tokens were
+    released, callers that disconnect early would use the runners for free, and the
+    account would use more than it prepaid."""
 
     async def run_long(stream, head):
         await anyio.sleep(5)
@@ -345,15 +350,15 @@
 
 
 async def test_short_route_timeout_does_not_eject_runners():
-    """The operator gives a route less time than its work takes. Taking each of its
-    time-outs for a dead runner, the relay would send nobody there for a while."""
+    """The timeout of a route is shorter than its work takes. If these timeouts counted
+    as failures of the runner, the relay would send it no requests for a while."""
 
     async def run_long(stream, head):
         await anyio.sleep(1)
         return False
 
-    # Far from both ends: a busy machine may take a while to connect, and from half a
-    # second on a wait does say something of its runner.
+    # Half of the threshold: long enough to connect on a busy host, and short enough not
+    # to count against the runner, as waits of half a second and longer do.
     route = make_route(Repetition.ONCE, timeout=UNRESPONSIVE_SECONDS / 2)
     async with run_relay(make_configuration(route), ScriptedRunner(run_long)) as relay:
         for _ in range(5):
@@ -364,8 +369,9 @@
 
 
 async def test_answered_request_is_no_longer_a_suspect():
-    """Many callers read the same status, and now and then a runner dies while one does.
-    After three such deaths nobody could read it for an hour."""
+    """Many callers send the same request, and runners occasionally crash while they run
+    it. Without clearing the suspicion after a success, three such crashes would block
+    the request for an hour."""
     runner = ScriptedRunner(answer_well)
     async with run_relay(make_configuration(SAFE), runner) as relay:
         suspects = relay.gateway._services.suspects
@@ -377,9 +383,10 @@
 
 
 async def test_abandoned_request_resets_the_runner_connection():
-    """A cut holds a confirmation up on its way. Its caller leaves, the cut heals, and
-    the kernel would still deliver it: a visit is confirmed that nobody waits for, and
-    once more when the caller has asked again. A reset discards what is under way."""
+    """A network partition delays a request and its caller disconnects. When the
+    partition heals, the kernel would still deliver the request. It would run for
+    nobody, and twice if the caller has sent it again. A reset of the connection
+    discards the unsent data."""
     ends = []
 
     async def wait_for_end(stream, head):
@@ -398,8 +405,9 @@
 
 
 async def test_caller_disconnects_count_against_an_unresponsive_runner():
-    """A data centre is cut off, and callers with short deadlines leave just before the
-    relay's own limit. Without taking note it would send each next one there too."""
+    """A data centre is partitioned, and callers with short deadlines disconnect just
+    before the relay's timeout. If that didn't count as a failure, the relay would send
+    the following requests to the same runner."""
 
     async def never_answer(stream, head):
         await anyio.sleep(5)
--- a/knapweedrail/tests/test_relay_routes.py
+++ b/knapweedrail/tests/test_relay_routes.py
@@ -1,4 +1,4 @@
-"""Routes, accounts and ranks of a configuration."""
+"""Tests of route lookup, priorities and traffic splits."""
 
 import random
 
@@ -31,7 +31,9 @@
 
 
 def test_route_priority_decides_among_accounts_of_equal_priority():
-    """Two runners are left of six, and both kinds of request wait there."""
+    """Requests of two routes queue at the runners, for example when two of six runners
+    are left. The route's priority must order them within an account, and never put a
+    request before one of a more urgent account."""
     urgent_route = make_route(Repetition.STREAM, "/p/", rank=0)
     normal_route = make_route(Repetition.STREAM, "/q/", rank=1)
     accounts = [
@@ -60,8 +62,8 @@
 
 
 def test_route_priority_is_ignored_without_a_queue():
-    """A runner interrupts a question for a plan, and reads it again later, though it
-    had room for both."""
+    """Guards against needless preemption: a runner would interrupt a request of the
+    less urgent route and repeat its prefill later, though it had capacity for both."""
     urgent_route = make_route(Repetition.STREAM, "/p/", rank=0)
     normal_route = make_route(Repetition.STREAM, "/q/", rank=1)
     accounts = [Account(name=f"a{n}", keys=(), rank=n) for n in range(2)]
@@ -82,13 +84,13 @@
     routes = [make_route(Repetition.SAFE, f"/{n}/", rank=n) for n in range(count)]
     accounts = [Account(name=f"a{n}", keys=(), rank=n) for n in range(count)]
     table = make_table(*routes, accounts=accounts)
-    ranks = [
+    priorities = [
         table.compute_priorities(route, account).by_account_and_route
         for account in accounts
         for route in routes
     ]
-    assert ranks == sorted(ranks)
-    assert 0 <= ranks[0] <= ranks[-1] < PRIORITY_LEVELS
+    assert priorities == sorted(priorities)
+    assert 0 <= priorities[0] <= priorities[-1] < PRIORITY_LEVELS
 
 
 def test_traffic_split_follows_weights():
--- a/knapweedrail/tests/test_relay_streams.py
+++ b/knapweedrail/tests/test_relay_streams.py
@@ -1,4 +1,4 @@
-"""Events of a stream, however the network cuts them."""
+"""Tests of event parsing, stream progress and stalled streams."""
 
 import anyio
 import pytest
@@ -35,7 +35,7 @@
 
 @given(st.integers(0, 9), st.integers(0, 9))
 def test_second_run_adds_only_missing_events(received_count, start):
-    """A runner goes on a little before the last event that the caller has."""
+    """The second runner repeats some of the events that the caller has."""
     progress = StreamProgress(None)
     first = EventSplitter().feed(
         b"".join(make_event(n) for n in range(1, received_count + 1))
@@ -62,9 +62,10 @@
 
 @pytest.mark.anyio
 async def test_stalled_stream_continues_when_no_other_runner_accepts_it():
-    """A runner pauses for longer than the relay waits, and the only other one is full.
-    The relay has ended the first run by then, and the caller is left with half an
-    answer, although the runner was about to go on. Found by seed 1500 of the soak."""
+    """Guards against truncated answers after a stall. The runner pauses for longer than
+    the stall timeout and the only other one is full. If the relay had ended the first
+    run by then, the caller would get half an answer, although the runner was about to
+    continue. Found by seed 1500 of the soak test."""
 
     async def pause(stream, head):
         if find_header(head, "last-event-id"):
@@ -86,8 +87,8 @@
 
 @pytest.mark.anyio
 async def test_stream_that_stalls_repeatedly_continues_at_its_runner():
-    """A runner makes room for more urgent work again and again, and no other one has
-    room. Each pause is longer than the relay waits before it asks another."""
+    """A runner repeatedly pauses a stream for more urgent work, each time for longer
+    than the stall timeout, and no other runner has capacity."""
 
     async def pause(stream, head):
         if find_header(head, "last-event-id"):
@@ -113,9 +114,9 @@
 @pytest.mark.anyio
 @pytest.mark.parametrize("first_event_delay", [0.05, 1.0])
 async def test_runs_of_a_stalled_stream_overlap_only_briefly(first_event_delay):
-    """A runner pauses, and another one goes on with its stream, at once or after some
-    thought. Worked on by both, the request would take two places, and its caller might
-    pay for it twice."""
+    """A runner stalls, and another one resumes its stream at once or after a delay. If
+    both runs continued, the request would take two slots and its caller might pay for
+    it twice."""
     ended = []
 
     async def respond(stream, head):
