--- a/knapweedrail/relay/attempts.py
+++ b/knapweedrail/relay/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request answered by a runner."""
+"""One attempt to forward a request to a runner."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import attrs
 
 from ..events import Event, log_event
-from .calls import Answered, Call, Failed, Failure
+from .calls import Answered, AttemptFailed, FailureKind, RequestContext
 from .codecs import Headers
 from .connections import ConnectionFailed, RunnerConnection
 from .models import RunnerAnswer
@@ -19,40 +19,45 @@
 from .views import RunnerView
 
 FIRST_BYTE_FACTOR = 2.0
-"""How many times a route's objective a runner may take to its first byte before a
-request that may be repeated goes to another one. At twice the objective the answer is
-late anyway, and what still comes then usually comes soon."""
+"""First-byte timeout of a repeatable request, as a multiple of its route's latency
+objective. At twice the objective the answer is late anyway, and an answer that is still
+coming usually arrives soon after."""
 
 FIRST_BYTE_SHARE = 0.4
-"""And how much of the time that is left, so that another runner has more than half."""
+"""First-byte timeout as a share of the remaining time, if that is less. It leaves more
+than half of that time to another runner."""
 
 STALL_FACTOR = 4.0
 STALL_SECONDS = 1.0
-"""Silence in the middle of a stream after which it goes on at another runner: so many
-times the longest pause that callers aim at, and not less than this. A runner that
-makes room for more urgent work is silent for some hundreds of milliseconds."""
+"""Stall timeout of a stream: a multiple of the longest gap between events that the
+route aims for, but at least ``STALL_SECONDS``. After it the stream is resumed at
+another runner. A runner that preempts a stream for more urgent work sends nothing for
+some hundreds of milliseconds."""
 
-SILENCE_SECONDS = 0.5
-"""Wait after which an answer that hasn't begun says something of the runner. A route's
-own time may be shorter than its work takes, which says nothing."""
+UNRESPONSIVE_SECONDS = 0.5
+"""Shortest wait for the first byte that counts as a failure of the runner. A route's
+timeout may be shorter than its work takes, which is no evidence against the runner."""
 
-BUSY_PROMPTS = 2.0
-"""Prompts that wait at a runner, of the usual length, from which on its order of work
-is told to it: a new prompt then waits about as long as it takes to read itself."""
+QUEUED_PROMPTS = 2.0
+"""Prompts of average length queued at a runner above which requests carry the priority
+that includes their route. A new prompt then waits about as long as its own prefill
+takes."""
 
 
 MISDIRECTED = 421
-"""Status by which a runner says that the request is meant for another one."""
+"""Status with which a runner rejects a request addressed to another runner."""
 
-SUCCESSES = range(200, 300)
+SUCCESS_STATUSES = range(200, 300)
 
 
 @attrs.frozen
 class StalledStream:
-    """A run whose stream is silent for long, and may go on yet.
+    """The open run of a stream that stalled and may still continue.
 
     Attributes:
-        splitter: Has the part of an event that came last.
+        connection: Connection to the runner.
+        answer: Head of the runner's answer.
+        splitter: Holds the incomplete event received last.
     """
 
     connection: RunnerConnection
@@ -61,249 +66,288 @@
 
 
 class Attempt:
-    """One runner's turn.
+    """Sends a request to one runner and passes its answer on to the caller.
 
     Args:
-        call: The request.
+        context: The request and its state.
         view: The runner.
-        take_over: Called when this runner has begun a stream, before the caller gets
-            any of it.
+        on_stream_start: Called when this runner has sent the first events of a stream,
+            before the caller receives any of them.
     """
 
     def __init__(
         self,
-        call: Call,
+        context: RequestContext,
         view: RunnerView,
-        take_over: Callable[[], Awaitable[None]],
+        on_stream_start: Callable[[], Awaitable[None]],
     ) -> None:
-        self._call = call
+        self._context = context
         self._view = view
-        self._take_over = take_over
-        self._life = view.life
-        self._unread = False
-        self._ran_before = call.may_have_run
+        self._on_stream_start = on_stream_start
+        self._incarnation = view.life
+        self._prefill_pending = False
+        self._may_have_run_before = context.may_have_run
         self._stalled: StalledStream | None = None
 
     @property
     def stalled(self) -> bool:
-        """Whether it failed by a silence, and its run may go on; `close` ends it."""
+        """Whether the stream stalled and its run is still open; `close` ends it."""
         return self._stalled is not None
 
-    async def resume(self) -> Answered | Failed:
-        """Pass on what the runner of a stalled stream still sends."""
+    async def resume(self) -> Answered | AttemptFailed:
+        """Wait for the rest of a stalled stream and pass it on."""
         stalled, self._stalled = self._stalled, None
         assert stalled is not None
         connection, splitter = stalled.connection, stalled.splitter
-        kept = False
+        reusable = False
         try:
-            with anyio.move_on_after(self._call.measure_left()):
+            with anyio.move_on_after(self._context.get_remaining_seconds()):
                 chunks = connection.receive_body()
                 data = await self._receive_events(chunks, splitter)
-                outcome, kept = await self._relay_stream(
+                outcome, reusable = await self._relay_stream(
                     connection, stalled.answer, chunks, splitter, data
                 )
                 return outcome
-            return Failed(Failure.SILENT, "the stream took too long")
+            return AttemptFailed(FailureKind.SILENT, "the stream took too long")
         except ConnectionFailed as error:
-            return self._fail(error)
+            return self._handle_connection_error(error)
         finally:
             if not self.stalled:
-                await self._end(connection, kept)
+                await self._release(connection, reusable)
 
     async def close(self) -> None:
-        """End the run of a stalled stream."""
+        """End the run of a stalled stream, if there is one."""
         stalled, self._stalled = self._stalled, None
         if stalled is not None:
-            await self._end(stalled.connection, kept=False)
+            await self._release(stalled.connection, reusable=False)
 
-    async def run(self) -> Answered | Failed:
-        """Send the request and pass on what the runner answers."""
-        services = self._call.services
+    async def run(self) -> Answered | AttemptFailed:
+        """Send the request to the runner and pass on its answer."""
+        services = self._context.services
         services.runners.note_sent(
             self._view,
-            self._call.request.prompt_tokens,
+            self._context.request.prompt_tokens,
             self,
-            self._call.ranks.busy,
+            self._context.priorities.by_account_and_route,
             time.monotonic(),
         )
-        self._unread = True
+        self._prefill_pending = True
         runner = self._view.runner
         connection: RunnerConnection | None = None
-        kept = False
+        reusable = False
         try:
             connection = await services.pool.take(
-                self._life,
+                self._incarnation,
                 runner.address,
                 time.monotonic(),
-                self._note_connection_time,
+                self._record_connection_time,
             )
-            outcome, kept = await self._converse(connection)
+            outcome, reusable = await self._send_and_relay(connection)
             return outcome
         except ConnectionFailed as error:
-            return self._fail(error)
+            return self._handle_connection_error(error)
         finally:
-            self._note_begun()
+            self._record_prefill_end()
             if not self.stalled:
-                await self._end(connection, kept)
+                await self._release(connection, reusable)
 
-    def _fail(self, error: ConnectionFailed) -> Failed:
-        """Take in that the connection failed."""
-        late = self._call.services.pressure.is_late(time.monotonic())
+    def _handle_connection_error(self, error: ConnectionFailed) -> AttemptFailed:
+        """Record a failed connection and return the outcome of the attempt.
+
+        While this host's event loop is late, a timeout isn't recorded against the
+        runner.
+        """
+        late = self._context.services.pressure.is_late(time.monotonic())
         if not (error.silent and late):
-            self._note_connection(error)
-            self._note_failure(certain=not error.sent)
-        failure = Failure.BROKEN if error.sent else Failure.NOT_SENT
-        return Failed(failure, f"{error.step}: {error.detail}")
-
-    async def _end(self, connection: RunnerConnection | None, kept: bool) -> None:
-        """End the runner's turn; it stops its work if the connection isn't kept."""
-        services = self._call.services
+            self._record_connection_error(error)
+            self._record_failure(certain=not error.sent)
+        kind = FailureKind.BROKEN if error.sent else FailureKind.NOT_SENT
+        return AttemptFailed(kind, f"{error.step}: {error.detail}")
+
+    async def _release(
+        self, connection: RunnerConnection | None, reusable: bool
+    ) -> None:
+        """End the attempt and discard a connection that can't be reused.
+
+        Closing the connection makes the runner stop its work.
+        """
+        services = self._context.services
         services.runners.note_ended(self._view)
-        if connection is not None and not kept:
+        if connection is not None and not reusable:
             with anyio.CancelScope(shield=True):
-                await services.pool.drop(self._life, connection)
+                await services.pool.drop(self._incarnation, connection)
 
-    async def _converse(
+    async def _send_and_relay(
         self, connection: RunnerConnection
-    ) -> tuple[Answered | Failed, bool]:
-        """Send the request on a connection; return also whether that can be kept."""
-        call = self._call
-        request = call.request
+    ) -> tuple[Answered | AttemptFailed, bool]:
+        """Send the request on a connection and pass on the answer.
+
+        Returns:
+            The outcome, and whether the connection can be reused.
+        """
+        context = self._context
+        request = context.request
         began_at = time.monotonic()
-        if call.measure_left() <= 0:
-            return Failed(Failure.NOT_SENT, "no time left"), False
+        if context.get_remaining_seconds() <= 0:
+            return AttemptFailed(FailureKind.NOT_SENT, "no time left"), False
         headers = self._make_headers()
-        call.arrivals += 1
-        call.may_have_run = True
+        context.counted_attempts += 1
+        context.may_have_run = True
         answer: RunnerAnswer | None = None
         chunks: Any = None
         splitter = EventSplitter()
-        first = b""
+        first_events = b""
         try:
-            with anyio.move_on_after(self._limit_first_byte()) as scope:
+            with anyio.move_on_after(self._compute_first_byte_timeout()) as scope:
                 await connection.send(
-                    request.method, request.target, headers, call.body
+                    request.method, request.target, headers, context.body
                 )
                 answer = await self._receive_answer(connection)
-                self._note_load(answer)
-                self._note_limit(answer, began_at)
-                if answer.identity == request.identity and _streams(answer):
+                self._record_load(answer)
+                self._record_limit(answer, began_at)
+                if answer.identity == request.identity and _is_event_stream(answer):
                     chunks = connection.receive_body()
-                    first = await self._receive_events(chunks, splitter)
+                    first_events = await self._receive_events(chunks, splitter)
         except anyio.get_cancelled_exc_class():
-            # The caller has left; how long it waited says something all the same.
-            self._note_wait(began_at)
+            # The caller disconnected. Its wait still counts as a sample.
+            self._record_timeout(began_at)
             raise
         if answer is None or scope.cancelled_caught:
-            self._note_wait(began_at)
-            return Failed(Failure.SILENT, "no first byte in time"), False
+            self._record_timeout(began_at)
+            return AttemptFailed(FailureKind.SILENT, "no first byte in time"), False
         if answer.identity != request.identity:
-            self._note_failure(certain=False)
-            return Failed(Failure.BROKEN, f"an answer to {answer.identity!r}"), False
-        if not _streams(answer):
-            with anyio.move_on_after(call.measure_left()):
-                return await self._take_whole(connection, answer, began_at)
-            self._note_failure(certain=False)
-            return Failed(Failure.SILENT, "the answer's body took too long"), False
-        self._note_good(began_at)
-        await self._take_over()
-        return await self._relay_stream(connection, answer, chunks, splitter, first)
-
-    def _note_wait(self, began_at: float) -> None:
-        """Take in a wait in vain for the first byte of an answer."""
-        if self._call.services.pressure.is_late(time.monotonic()):
-            # What came in time was seen too late here; runners aren't to blame.
+            self._record_failure(certain=False)
+            return AttemptFailed(
+                FailureKind.BROKEN, f"an answer to {answer.identity!r}"
+            ), False
+        if not _is_event_stream(answer):
+            with anyio.move_on_after(context.get_remaining_seconds()):
+                return await self._relay_whole(connection, answer, began_at)
+            self._record_failure(certain=False)
+            return AttemptFailed(
+                FailureKind.SILENT, "the answer's body took too long"
+            ), False
+        self._record_success(began_at)
+        await self._on_stream_start()
+        return await self._relay_stream(
+            connection, answer, chunks, splitter, first_events
+        )
+
+    def _record_timeout(self, began_at: float) -> None:
+        """Record that the first byte of an answer didn't arrive in time."""
+        if self._context.services.pressure.is_late(time.monotonic()):
+            # This host's event loop is late, so the answer may have arrived in time.
             return
-        self._note_prompt(began_at, gave_up=True)
-        if time.monotonic() - began_at >= SILENCE_SECONDS:
-            self._note_silence()
-            self._note_failure(certain=False)
+        self._record_prompt_wait(began_at, abandoned=True)
+        if time.monotonic() - began_at >= UNRESPONSIVE_SECONDS:
+            self._record_unresponsive()
+            self._record_failure(certain=False)
 
-    def _note_connection_time(self, seconds: float, now: float) -> None:
-        """Take in how long a connection took, if it tells of this host's link.
+    def _record_connection_time(self, seconds: float, now: float) -> None:
+        """Record how long it took to connect, as a sample of this host's link.
 
-        Behind a cut between data centres connections time out as well, and those that
-        are kept tell nothing; only the own data centre's runners are always as near.
+        Only connections to runners in the same data centre count, as their distance is
+        constant. Others also time out during a network partition between data centres,
+        and reused connections give no sample.
+
+        Args:
+            seconds: Time to connect, seconds.
+            now: Monotonic time, seconds.
         """
-        services = self._call.services
+        services = self._context.services
         if self._view.runner.data_centre == services.data_centre:
-            services.pressure.note_connection(str(self._life), seconds, now)
+            services.pressure.note_connection(str(self._incarnation), seconds, now)
 
     def _make_headers(self) -> Headers:
-        call = self._call
-        has_body = bool(call.body) or call.request.method not in ("GET", "HEAD")
-        return call.services.codec.encode_request(
-            call.request,
+        context = self._context
+        has_body = bool(context.body) or context.request.method not in ("GET", "HEAD")
+        return context.services.codec.encode_request(
+            context.request,
             self._view.runner,
-            call.account,
-            call.measure_left(),
-            call.ranks.busy if self._is_busy() else call.ranks.calm,
-            len(call.body) if has_body else None,
-            call.progress.last,
+            context.account,
+            context.get_remaining_seconds(),
+            context.priorities.by_account_and_route
+            if self._is_queueing()
+            else context.priorities.by_account,
+            len(context.body) if has_body else None,
+            context.progress.last_event_id,
         )
 
-    def _is_busy(self) -> bool:
-        """Return whether requests wait at a runner, so that their order matters."""
-        mean = self._call.services.runners.mean_tokens
-        unread = self._view.estimate_unread(mean, time.monotonic())
-        return unread > self._call.request.prompt_tokens + BUSY_PROMPTS * mean
+    def _is_queueing(self) -> bool:
+        """Return whether enough prompts queue at the runner for order to matter."""
+        mean = self._context.services.runners.mean_tokens
+        queued_tokens = self._view.estimate_unread(mean, time.monotonic())
+        return (
+            queued_tokens > self._context.request.prompt_tokens + QUEUED_PROMPTS * mean
+        )
 
     async def _receive_answer(self, connection: RunnerConnection) -> RunnerAnswer:
         head = await connection.receive_head()
         headers = list(head.headers.raw_items())
-        services = self._call.services
+        services = self._context.services
         answer = services.codec.decode_answer(head.status_code, headers)
-        services.unread.note(answer.unread, self._view.runner.name)
+        services.unknown_headers.record(answer.unread, self._view.runner.name)
         return answer
 
-    def _limit_first_byte(self) -> float:
-        """Return how long this attempt may take to its first byte, seconds."""
-        route = self._call.route
-        left = self._call.measure_left()
-        last = self._call.arrivals >= route.max_runners
-        if last or not route.repeatable:
-            return left
-        return min(FIRST_BYTE_FACTOR * route.objective, FIRST_BYTE_SHARE * left)
+    def _compute_first_byte_timeout(self) -> float:
+        """Return the timeout for the first byte of this attempt, seconds.
 
-    async def _take_whole(
+        The last attempt, and one that can't be repeated, may use all remaining time.
+        """
+        route = self._context.route
+        remaining = self._context.get_remaining_seconds()
+        is_last = self._context.counted_attempts >= route.max_runners
+        if is_last or not route.repeatable:
+            return remaining
+        return min(FIRST_BYTE_FACTOR * route.objective, FIRST_BYTE_SHARE * remaining)
+
+    async def _relay_whole(
         self,
         connection: RunnerConnection,
         answer: RunnerAnswer,
         began_at: float,
-    ) -> tuple[Answered | Failed, bool]:
-        """Receive a whole answer, and pass it on if it is sound."""
+    ) -> tuple[Answered | AttemptFailed, bool]:
+        """Receive the body of a non-streaming answer and pass it on if it is valid."""
         body = b"".join([chunk async for chunk in connection.receive_body()])
-        kept = self._keep(connection, answer)
+        reusable = self._return_to_pool(connection, answer)
         if answer.not_run:
-            self._call.may_have_run = self._ran_before
+            self._context.may_have_run = self._may_have_run_before
             if answer.status == MISDIRECTED:
-                # The runner that it was meant for is gone and never got it; the one
-                # that has its address now was not chosen, and hasn't run it either.
-                # Counted, the only attempt of many routes was spent on it: a quarter
-                # of all runners crashed at once, and 500 callers were refused while
-                # the others had room.
-                self._call.arrivals -= 1
-            self._note_rejection(answer)
+                # The intended runner is gone and never received the request, and the
+                # runner that now has its address hasn't run it either. Counting this
+                # attempt used up the only one that many routes allow: when a quarter
+                # of all runners crashed at once, 500 callers were refused although
+                # the other runners had capacity.
+                self._context.counted_attempts -= 1
+            self._record_rejection(answer)
             detail = f"rejected with {answer.status}"
-            return Failed(Failure.NOT_RUN, detail), kept
+            return AttemptFailed(FailureKind.NOT_RUN, detail), reusable
         if not answer.sealed:
-            self._note_failure(certain=False)
-            return Failed(Failure.BROKEN, "an answer without a seal"), kept
+            self._record_failure(certain=False)
+            return AttemptFailed(
+                FailureKind.BROKEN, "an answer without a seal"
+            ), reusable
         if answer.status >= 500:
-            self._note_failure(certain=False)
+            self._record_failure(certain=False)
             detail = f"the runner failed with {answer.status}"
             name = self._view.runner.name
-            return Failed(Failure.BROKEN, detail, answer, body, name), kept
-        self._note_good(began_at)
-        if self._call.delivery.started:
-            return Failed(Failure.BROKEN, f"{answer.status} to a resumed run"), kept
-        await self._call.delivery.send_whole(answer.status, list(answer.headers), body)
-        return Answered(answer.status, self._view.runner.name), kept
+            return AttemptFailed(
+                FailureKind.BROKEN, detail, answer, body, name
+            ), reusable
+        self._record_success(began_at)
+        if self._context.response.started:
+            return AttemptFailed(
+                FailureKind.BROKEN, f"{answer.status} to a resumed run"
+            ), reusable
+        await self._context.response.send_whole(
+            answer.status, list(answer.headers), body
+        )
+        return Answered(answer.status, self._view.runner.name), reusable
 
     async def _receive_events(self, chunks: Any, splitter: EventSplitter) -> bytes:
-        """Return the next events that the caller lacks; empty at the stream's end."""
+        """Return the next events that the caller lacks; empty at the end."""
         async for chunk in chunks:
-            data = self._call.progress.select(splitter.feed(chunk))
+            data = self._context.progress.select_new(splitter.feed(chunk))
             if data:
                 return data
         return b""
@@ -315,133 +359,145 @@
         chunks: Any,
         splitter: EventSplitter,
         data: bytes,
-    ) -> tuple[Answered | Failed, bool]:
-        """Pass on a stream whose first events have come, to its end."""
-        if not self._call.delivery.started and not answer.sealed:
-            return Failed(Failure.BROKEN, "a stream without a seal"), False
-        with anyio.move_on_after(self._call.measure_left()):
+    ) -> tuple[Answered | AttemptFailed, bool]:
+        """Pass on a stream to its end, beginning with the events already received."""
+        if not self._context.response.started and not answer.sealed:
+            return AttemptFailed(FailureKind.BROKEN, "a stream without a seal"), False
+        with anyio.move_on_after(self._context.get_remaining_seconds()):
             while data:
-                await self._send_part(answer, data)
-                if not self._may_go_elsewhere():
-                    # The time that is left bounds it already, and a bound for each
-                    # event is dear where streams are most of the work.
+                await self._send_chunk(answer, data)
+                if not self._may_fail_over():
+                    # The remaining time already bounds the wait, and a timeout for each
+                    # event is expensive where streams are most of the work.
                     data = await self._receive_events(chunks, splitter)
                     continue
                 data = b""
-                with anyio.move_on_after(self._limit_silence()) as silence:
+                with anyio.move_on_after(self._compute_stall_timeout()) as stall_scope:
                     data = await self._receive_events(chunks, splitter)
-                if silence.cancelled_caught:
-                    self._note_failure(certain=False)
+                if stall_scope.cancelled_caught:
+                    self._record_failure(certain=False)
                     self._stalled = StalledStream(connection, answer, splitter)
-                    return Failed(Failure.SILENT, "the stream stalled"), False
-            await self._send_part(answer, splitter.rest)
-            kept = self._keep(connection, answer)
-            await self._call.delivery.end()
-            return Answered(answer.status, self._view.runner.name), kept
-        return Failed(Failure.SILENT, "the stream took too long"), False
-
-    async def _send_part(self, answer: RunnerAnswer, data: bytes) -> None:
-        await self._call.delivery.send_part(answer.status, list(answer.headers), data)
-
-    def _may_go_elsewhere(self) -> bool:
-        """Return whether a stream that stalls may go on at another runner."""
-        route = self._call.route
-        return route.resumable and self._call.arrivals < route.max_runners
-
-    def _limit_silence(self) -> float:
-        """Return how long a stream may be silent before it goes on elsewhere."""
-        return max(STALL_SECONDS, STALL_FACTOR * self._call.route.gap)
-
-    def _keep(self, connection: RunnerConnection, answer: RunnerAnswer) -> bool:
+                    return AttemptFailed(
+                        FailureKind.SILENT, "the stream stalled"
+                    ), False
+            await self._send_chunk(answer, splitter.remainder)
+            reusable = self._return_to_pool(connection, answer)
+            await self._context.response.end()
+            return Answered(answer.status, self._view.runner.name), reusable
+        return AttemptFailed(FailureKind.SILENT, "the stream took too long"), False
+
+    async def _send_chunk(self, answer: RunnerAnswer, data: bytes) -> None:
+        await self._context.response.send_chunk(
+            answer.status, list(answer.headers), data
+        )
+
+    def _may_fail_over(self) -> bool:
+        """Return whether a stalled stream may be resumed at another runner."""
+        route = self._context.route
+        return route.resumable and self._context.counted_attempts < route.max_runners
+
+    def _compute_stall_timeout(self) -> float:
+        """Return the time without events after which a stream is stalled, seconds."""
+        return max(STALL_SECONDS, STALL_FACTOR * self._context.route.gap)
+
+    def _return_to_pool(
+        self, connection: RunnerConnection, answer: RunnerAnswer
+    ) -> bool:
         if not connection.finish():
             return False
-        self._call.services.pool.keep(
-            self._life, connection, answer.idle_seconds, time.monotonic()
+        self._context.services.pool.keep(
+            self._incarnation, connection, answer.idle_seconds, time.monotonic()
         )
         return True
 
-    def _note_good(self, began_at: float) -> None:
-        """Take in that the runner gives a sound answer."""
-        call, now = self._call, time.monotonic()
-        call.services.runners.note_answer(self._view, now - began_at, now)
-        call.services.suspects.note_good(call.fingerprint, now)
-        self._note_begun()
-        self._note_prompt(began_at, gave_up=False)
-        if call.request.parts:
-            shared = find_shared_part(call.request.parts)
-            call.services.runners.note_prefix(shared.name, self._view, now)
-
-    def _note_prompt(self, began_at: float, gave_up: bool) -> None:
-        """Take in how long a prompt waited at the runner."""
-        if self._call.request.parts:
+    def _record_success(self, began_at: float) -> None:
+        """Record that the runner has begun a valid answer."""
+        context, now = self._context, time.monotonic()
+        context.services.runners.note_answer(self._view, now - began_at, now)
+        context.services.suspects.note_good(context.fingerprint, now)
+        self._record_prefill_end()
+        self._record_prompt_wait(began_at, abandoned=False)
+        if context.request.parts:
+            shared = find_shared_part(context.request.parts)
+            context.services.runners.note_prefix(shared.name, self._view, now)
+
+    def _record_prompt_wait(self, began_at: float, abandoned: bool) -> None:
+        """Record how long the prompt waited at the runner.
+
+        Args:
+            began_at: When the request was sent, monotonic seconds.
+            abandoned: Whether the wait ended without an answer.
+        """
+        if self._context.request.parts:
             now = time.monotonic()
-            runners = self._call.services.runners
-            runners.note_wait(self._view, now - began_at, gave_up, now)
+            runners = self._context.services.runners
+            runners.note_wait(self._view, now - began_at, abandoned, now)
 
-    def _note_begun(self) -> None:
-        if self._unread:
-            tokens = self._call.request.prompt_tokens
-            self._call.services.runners.note_begun(self._view, tokens, self)
-            self._unread = False
+    def _record_prefill_end(self) -> None:
+        if self._prefill_pending:
+            tokens = self._context.request.prompt_tokens
+            self._context.services.runners.note_begun(self._view, tokens, self)
+            self._prefill_pending = False
 
-    def _note_load(self, answer: RunnerAnswer) -> None:
+    def _record_load(self, answer: RunnerAnswer) -> None:
         if answer.running is not None and answer.waiting is not None:
-            self._call.services.runners.note_load(
+            self._context.services.runners.note_load(
                 self._view, answer.running, answer.waiting, time.monotonic()
             )
 
-    def _note_limit(self, answer: RunnerAnswer, sent_at: float) -> None:
-        """Take in the limit that the runner names, or that it names none any more."""
-        call = self._call
-        if answer.status == MISDIRECTED or answer.identity != call.request.identity:
+    def _record_limit(self, answer: RunnerAnswer, sent_at: float) -> None:
+        """Record the rate limit in an answer, or that the runner has none any more."""
+        context = self._context
+        if answer.status == MISDIRECTED or answer.identity != context.request.identity:
             return
-        if answer.limit is None and answer.status not in SUCCESSES:
-            # Rejections and errors may be made before the runner looks at the rest.
+        if answer.limit is None and answer.status not in SUCCESS_STATUSES:
+            # A rejection or error may omit the limit, as it may be produced before the
+            # runner evaluates the rest of the request.
             return
-        news = call.services.runners.note_limit(
+        update = context.services.runners.note_limit(
             self._view, answer.limit, time.monotonic(), sent_at
         )
-        if news is not None:
+        if update is not None:
             log_event(
                 Event.RUNNER_LIMITED,
-                runner=news.runner,
-                limit=news.rate,
-                request=call.request.identity,
+                runner=update.runner,
+                limit=update.rate,
+                request=context.request.identity,
             )
-            call.services.tell_limit(news)
+            context.services.tell_limit(update)
 
-    def _note_rejection(self, answer: RunnerAnswer) -> None:
+    def _record_rejection(self, answer: RunnerAnswer) -> None:
         if answer.status == MISDIRECTED:
-            self._note_failure(certain=True)
+            self._record_failure(certain=True)
             if answer.runner is not None:
-                self._call.services.note_successor(self._view.runner, answer.runner)
+                self._context.services.note_successor(self._view.runner, answer.runner)
         else:
-            self._call.services.runners.note_full(self._view, time.monotonic())
+            self._context.services.runners.note_full(self._view, time.monotonic())
 
-    def _note_connection(self, error: ConnectionFailed) -> None:
-        services, life = self._call.services, str(self._life)
+    def _record_connection_error(self, error: ConnectionFailed) -> None:
+        services, incarnation = self._context.services, str(self._incarnation)
         now = time.monotonic()
         if error.silent:
-            self._note_silence()
+            self._record_unresponsive()
         if error.sent:
-            services.suspects.note_break(life, self._call.fingerprint, now)
+            services.suspects.note_break(incarnation, self._context.fingerprint, now)
             return
-        lines = services.suspects.note_crash(life, now)
+        lines = services.suspects.note_crash(incarnation, now)
         if lines:
-            log_event(Event.RUNNER_CRASHED, runner=life, suspects=len(lines))
+            log_event(Event.RUNNER_CRASHED, runner=incarnation, suspects=len(lines))
             services.tell_suspects(lines)
 
-    def _note_silence(self) -> None:
-        if self._call.services.runners.note_silence(self._view, time.monotonic()):
+    def _record_unresponsive(self) -> None:
+        if self._context.services.runners.note_silence(self._view, time.monotonic()):
             log_event(
                 Event.DATA_CENTRE_SILENT,
                 data_centre=self._view.runner.data_centre,
                 runner=self._view.runner.name,
-                request=self._call.request.identity,
+                request=self._context.request.identity,
             )
 
-    def _note_failure(self, certain: bool) -> None:
-        runners = self._call.services.runners
+    def _record_failure(self, certain: bool) -> None:
+        runners = self._context.services.runners
         if runners.note_failure(self._view, time.monotonic(), certain):
             log_event(
                 Event.RUNNER_EJECTED,
@@ -452,5 +508,5 @@
             )
 
 
-def _streams(answer: RunnerAnswer) -> bool:
+def _is_event_stream(answer: RunnerAnswer) -> bool:
     return answer.event_stream and answer.status == 200
--- /dev/null
+++ b/knapweedrail/relay/request_bodies.py
@@ -0,0 +1,58 @@
+"""Receipt of request bodies, with limits on size and time."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+import anyio
+
+from ..outcomes import Refusal, RefusalKind
+from .refusals import refuse
+
+SLOW_BODY_RETRY_AFTER_SECONDS = 1.0
+"""Retry-after time for a caller whose body arrived too slowly, as its link may be
+congested."""
+
+Receive = Callable[[], Awaitable[dict[str, Any]]]
+
+
+class CallerDisconnected(Exception):
+    """The caller closed its connection before its body was complete."""
+
+
+async def receive_body(
+    receive: Receive, max_bytes: int, deadline_at: float
+) -> bytes | Refusal:
+    """Receive a whole request body.
+
+    Args:
+        receive: ASGI function of the server.
+        max_bytes: Largest allowed size, bytes.
+        deadline_at: Deadline of the request, monotonic seconds.
+
+    Returns:
+        The body, or a refusal if it is too large or late.
+
+    Raises:
+        CallerDisconnected: If the caller disconnects before the body is complete.
+    """
+    parts: list[bytes] = []
+    size = 0
+    with anyio.move_on_after(deadline_at - time.monotonic()):
+        while True:
+            message = await receive()
+            if message["type"] == "http.disconnect":
+                raise CallerDisconnected
+            parts.append(message.get("body", b""))
+            size += len(parts[-1])
+            if size > max_bytes:
+                return refuse(RefusalKind.TOO_LARGE, f"over {max_bytes} bytes", None)
+            if not message.get("more_body", False):
+                return b"".join(parts)
+    return refuse(
+        RefusalKind.DEADLINE,
+        "the body didn't arrive in time",
+        SLOW_BODY_RETRY_AFTER_SECONDS,
+    )
--- /dev/null
+++ b/knapweedrail/relay/response_writer.py
@@ -0,0 +1,79 @@
+"""Writing of the response to one caller."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from .codecs import Headers
+
+Send = Callable[[dict[str, Any]], Awaitable[None]]
+
+
+class ResponseWriter:
+    """Sends the response to one request.
+
+    Args:
+        send: ASGI function of the server.
+        should_close: Returns whether the caller's connection should be closed after
+            the response; read when the headers are sent.
+
+    Attributes:
+        longest_gap: Longest time between two chunks of a stream, seconds; ``None``
+            before the second chunk.
+        first_byte_at: When the headers were sent, monotonic seconds; ``None`` before.
+        complete: Whether the end of the response has been passed to the server.
+    """
+
+    def __init__(self, send: Send, should_close: Callable[[], bool]) -> None:
+        self._send = send
+        self._should_close = should_close
+        self._last_chunk_at = 0.0
+        self.longest_gap: float | None = None
+        self.first_byte_at: float | None = None
+        self._closes_connection = False
+        self.complete = False
+
+    def close_connection_after(self) -> None:
+        """Close the connection after this response."""
+        self._closes_connection = True
+
+    @property
+    def started(self) -> bool:
+        """Whether the headers of the response have been sent."""
+        return self.first_byte_at is not None
+
+    async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send a complete response."""
+        length = (b"content-length", b"%d" % len(body))
+        await self._start(status, [*headers, length])
+        self.complete = True
+        await self._send({"type": "http.response.body", "body": body})
+
+    async def send_chunk(self, status: int, headers: Headers, data: bytes) -> None:
+        """Send the next chunk of a stream, after the headers if it is the first."""
+        now = time.monotonic()
+        if self.started:
+            gap = now - self._last_chunk_at
+            self.longest_gap = max(gap, self.longest_gap or 0.0)
+        else:
+            await self._start(status, list(headers))
+        self._last_chunk_at = now
+        if data:
+            await self._send(
+                {"type": "http.response.body", "body": data, "more_body": True}
+            )
+
+    async def end(self) -> None:
+        """Send the end of a stream."""
+        self.complete = True
+        await self._send({"type": "http.response.body", "body": b""})
+
+    async def _start(self, status: int, headers: Headers) -> None:
+        self.first_byte_at = time.monotonic()
+        if self._closes_connection or self._should_close():
+            headers = [*headers, (b"connection", b"close")]
+        await self._send(
+            {"type": "http.response.start", "status": status, "headers": headers}
+        )
--- a/knapweedrail/relay/streams.py
+++ b/knapweedrail/relay/streams.py
@@ -1,7 +1,8 @@
-"""Event streams: whole events out of bytes, without gaps or repetitions.
+"""Parsing of server-sent event streams and tracking of the events passed on.
 
-Pure. A runner may stop in the middle of an event, and another one then goes on after
-the last event that the caller has; so only whole events are passed on, and each once.
+A runner may fail in the middle of an event, and another one then resumes after the
+last event that the caller has. So only complete events are passed on, and each once.
+The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -10,67 +11,74 @@
 
 import attrs
 
-_END = re.compile(rb"\r?\n\r?\n")
-_NUMBER = re.compile(rb"(?:^|\n)id: ?(\d+)")
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
+_EVENT_ID = re.compile(rb"(?:^|\n)id: ?(\d+)")
 
 
 @attrs.frozen
 class StreamEvent:
-    """One event.
+    """One server-sent event.
 
     Attributes:
-        data: Its bytes, with the blank line that ends it.
-        number: Its number; ``None`` for one without.
+        data: Its bytes, including the blank line that ends it.
+        event_id: Value of its ``id`` field; ``None`` if it has none.
     """
 
     data: bytes
-    number: int | None
+    event_id: int | None
 
 
 class EventSplitter:
-    """Cuts the bytes of one run into events."""
+    """Splits the bytes of one run into events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
-        """Bytes after the last whole event."""
-        return self._rest
+    def remainder(self) -> bytes:
+        """Bytes after the last complete event."""
+        return self._remainder
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take in bytes and return the events that they complete."""
-        data = self._rest + data
+        """Append bytes and return the events that they complete."""
+        data = self._remainder + data
         events = []
         start = 0
-        for match in _END.finditer(data):
+        for match in _EVENT_END.finditer(data):
             text = data[start : match.end()]
-            number = _NUMBER.search(text)
-            events.append(StreamEvent(text, int(number[1]) if number else None))
+            event_id = _EVENT_ID.search(text)
+            events.append(StreamEvent(text, int(event_id[1]) if event_id else None))
             start = match.end()
-        self._rest = data[start:]
+        self._remainder = data[start:]
         return events
 
 
 class StreamProgress:
-    """Which events a caller has, over all runs of its request.
+    """Tracks which events a caller has received over all runs of its request.
 
     Args:
-        last: Number of the last event that the caller came with, if it resumes.
+        last_event_id: ``Last-Event-ID`` of the request, if the caller resumes a stream.
+
+    Attributes:
+        last_event_id: ID of the last event passed on, initially that of the request.
+        event_count: Events passed on by this relay.
     """
 
-    def __init__(self, last: int | None) -> None:
-        self.last = last
-        self.passed = 0
+    def __init__(self, last_event_id: int | None) -> None:
+        self.last_event_id = last_event_id
+        self.event_count = 0
 
-    def select(self, events: list[StreamEvent]) -> bytes:
-        """Return the bytes of those events that the caller doesn't have yet."""
+    def select_new(self, events: list[StreamEvent]) -> bytes:
+        """Return the bytes of the events that the caller lacks and count them."""
         data = []
         for event in events:
-            if event.number is not None:
-                if self.last is not None and event.number <= self.last:
+            if event.event_id is not None:
+                if (
+                    self.last_event_id is not None
+                    and event.event_id <= self.last_event_id
+                ):
                     continue
-                self.last = event.number
-            self.passed += 1
+                self.last_event_id = event.event_id
+            self.event_count += 1
             data.append(event.data)
         return b"".join(data)
--- /dev/null
+++ b/knapweedrail/relay/unknown_headers.py
@@ -0,0 +1,30 @@
+"""Logging of unknown headers in runners' answers."""
+
+from __future__ import annotations
+
+from ..events import Event, log_event
+
+MAX_NAMES = 50
+"""Limit on the names logged, as a runner could send any number of different ones."""
+
+
+class UnknownHeaderLog:
+    """Logs each unknown response header once.
+
+    Runners may be newer than the relays and send headers that a relay should evaluate.
+    """
+
+    def __init__(self) -> None:
+        self._names: set[str] = set()
+
+    def record(self, names: tuple[str, ...], runner: str) -> None:
+        """Log the names that haven't been logged yet.
+
+        Args:
+            names: Unknown header names of an answer.
+            runner: Name of the runner that sent them.
+        """
+        for name in names:
+            if name not in self._names and len(self._names) < MAX_NAMES:
+                self._names.add(name)
+                log_event(Event.HEADER_UNREAD, header=name, runner=runner)
