--- a/knapweedrail/relay/connections.py
+++ b/knapweedrail/relay/connections.py
@@ -42,7 +42,7 @@
 are told in whole seconds, and a request sent as the runner closes may be lost."""
 
 
-_DISCARD = struct.pack("ii", 1, 0)
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 """Linger on close for no time at all: the kernel then resets the connection."""
 
 
@@ -82,7 +82,7 @@
         self._parser = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=HEADER_BYTES
         )
-        self._body_left = 0
+        self._unsent_bytes = 0
 
     async def send(
         self,
@@ -103,12 +103,12 @@
             data += self._parser.send(h11.Data(data=body))
         data += self._parser.send(h11.EndOfMessage())
         self.sent = True
-        self._body_left = len(data)
+        self._unsent_bytes = len(data)
         try:
             await self._stream.send(data)
         except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
-            raise self._fail("send", error) from error
-        self._body_left = 0
+            raise self._make_error("send", error) from error
+        self._unsent_bytes = 0
 
     async def receive_head(self) -> h11.Response:
         """Wait for the status and headers of the answer.
@@ -121,7 +121,7 @@
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise self._fail("answer", f"unexpected {type(event).__name__}")
+                raise self._make_error("answer", f"unexpected {type(event).__name__}")
 
     async def receive_body(self) -> AsyncIterator[bytes]:
         """Yield the answer's body as it arrives, until its end.
@@ -134,7 +134,7 @@
             if isinstance(event, h11.EndOfMessage):
                 return
             if not isinstance(event, h11.Data):
-                raise self._fail("body", f"unexpected {type(event).__name__}")
+                raise self._make_error("body", f"unexpected {type(event).__name__}")
             yield bytes(event.data)
 
     def finish(self) -> bool:
@@ -143,7 +143,7 @@
         It may not when the runner says so, when the request isn't all sent, or when
         bytes have come that belong to no request.
         """
-        if self._body_left or self._parser.trailing_data[0]:
+        if self._unsent_bytes or self._parser.trailing_data[0]:
             return False
         if self._parser.our_state is not h11.DONE:
             return False
@@ -153,7 +153,7 @@
         self.sent = False
         return True
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether nothing has come since the last exchange, its end included."""
         raw = self._stream.extra(anyio.abc.SocketAttribute.raw_socket)
         poll = select.poll()
@@ -169,7 +169,7 @@
         """
         raw = self._stream.extra(anyio.abc.SocketAttribute.raw_socket)
         with contextlib.suppress(OSError):
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _DISCARD)
+            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         with anyio.CancelScope(shield=True):
             await anyio.aclose_forcefully(self._stream)
 
@@ -178,7 +178,7 @@
             try:
                 event = self._parser.next_event()
             except h11.RemoteProtocolError as error:
-                raise self._fail(step, error) from error
+                raise self._make_error(step, error) from error
             if event is not h11.NEED_DATA:
                 return event
             try:
@@ -186,10 +186,10 @@
             except anyio.EndOfStream:
                 data = b""
             except (OSError, anyio.BrokenResourceError) as error:
-                raise self._fail(step, error) from error
+                raise self._make_error(step, error) from error
             self._parser.receive_data(data)
 
-    def _fail(self, step: str, error: object) -> ConnectionFailed:
+    def _make_error(self, step: str, error: object) -> ConnectionFailed:
         return ConnectionFailed(self.address, step, repr(error), self.sent)
 
 
@@ -212,7 +212,7 @@
     return RunnerConnection(stream, address)
 
 
-NoteConnection = Callable[[float, float], None]
+RecordConnectTime = Callable[[float, float], None]
 """Takes the seconds that a connection took, and the time."""
 
 
@@ -228,7 +228,11 @@
         self.open: dict[RunnerLife, int] = {}
 
     async def take(
-        self, runner: RunnerLife, address: str, now: float, note: NoteConnection
+        self,
+        runner: RunnerLife,
+        address: str,
+        now: float,
+        record_connect_time: RecordConnectTime,
     ) -> RunnerConnection:
         """Return a connection to a runner, a kept one if one is still good.
 
@@ -242,8 +246,8 @@
         while idle:
             connection = idle.pop()
             fresh = now - connection.idle_since < connection.idle_seconds
-            led = connection.address == address
-            if led and fresh and connection.is_quiet():
+            same_address = connection.address == address
+            if same_address and fresh and connection.is_idle():
                 return connection
             await self.drop(runner, connection)
         self.open[runner] = self.open.get(runner, 0) + 1
@@ -251,14 +255,14 @@
             connection = await open_connection(address)
         except ConnectionFailed as error:
             if error.silent:
-                note(CONNECT_SECONDS, time.monotonic())
+                record_connect_time(CONNECT_SECONDS, time.monotonic())
             self._count_closed(runner)
             raise
         except BaseException:
             self._count_closed(runner)
             raise
         ready_at = time.monotonic()
-        note(ready_at - now, ready_at)
+        record_connect_time(ready_at - now, ready_at)
         return connection
 
     def keep(
@@ -287,18 +291,18 @@
     async def prune(self, now: float, known: set[RunnerLife]) -> None:
         """Close connections that were idle for long, or whose runner is gone."""
         for runner in list(self._idle):
-            old = [
+            expired = [
                 connection
                 for connection in self._idle[runner]
                 if runner not in known
                 or now - connection.idle_since >= connection.idle_seconds
             ]
-            for connection in old:
+            for connection in expired:
                 self._idle[runner].remove(connection)
             if not self._idle[runner]:
                 del self._idle[runner]
             # Closing lets other tasks run, which may take and keep connections.
-            for connection in old:
+            for connection in expired:
                 await self.drop(runner, connection)
 
     async def close(self) -> None:
@@ -306,8 +310,8 @@
         await self.prune(float("inf"), set())
 
     def _count_closed(self, runner: RunnerLife) -> None:
-        left = self.open.get(runner, 1) - 1
-        if left > 0:
-            self.open[runner] = left
+        remaining = self.open.get(runner, 1) - 1
+        if remaining > 0:
+            self.open[runner] = remaining
         else:
             self.open.pop(runner, None)
--- a/knapweedrail/relay/lives.py
+++ b/knapweedrail/relay/lives.py
@@ -10,7 +10,7 @@
 
 from .models import UNKNOWN_START, RunnerLife
 
-MOST_LIVES = 10_000
+MAX_INCARNATIONS = 10_000
 """Runners whose newest life is remembered, also after they are gone; those not heard
 of for longest are forgotten first. About 1.5 MB."""
 
@@ -23,7 +23,7 @@
     OUTDATED = "left, since a later life is known"
 
 
-class Lives:
+class IncarnationTracker:
     """The newest life of each runner.
 
     What goes wrong without it: a write of an earlier life that the store carries out
@@ -35,14 +35,14 @@
     def __init__(self) -> None:
         self._newest: OrderedDict[str, int] = OrderedDict()
 
-    def admit(self, life: RunnerLife) -> bool:
+    def observe(self, life: RunnerLife) -> bool:
         """Take in a life that was heard of; return whether none is known after it."""
         newest = self._newest.get(life.name, UNKNOWN_START)
         if life.started < newest:
             return False
         self._newest[life.name] = life.started
         self._newest.move_to_end(life.name)
-        if len(self._newest) > MOST_LIVES:
+        if len(self._newest) > MAX_INCARNATIONS:
             self._newest.popitem(last=False)
         return True
 
@@ -56,23 +56,25 @@
     """
 
     def __init__(self) -> None:
-        self._tells: dict[str, bool] = {}
+        self._reports_start: dict[str, bool] = {}
 
     def note(self, name: str, started: int) -> None:
         """Take in an entry that is in order otherwise."""
-        self._tells[name] = started != UNKNOWN_START
+        self._reports_start[name] = started != UNKNOWN_START
 
     def forget(self, name: str) -> None:
         """Take in that an entry is gone, or can't be read."""
-        self._tells.pop(name, None)
+        self._reports_start.pop(name, None)
 
     def keep(self, names: set[str]) -> None:
         """Forget all other entries."""
-        self._tells = {
-            name: told for name, told in self._tells.items() if name in names
+        self._reports_start = {
+            name: reports
+            for name, reports in self._reports_start.items()
+            if name in names
         }
 
     def admits(self, started: int) -> bool:
         """Return whether an entry with this start may be a runner's."""
-        telling = sum(self._tells.values())
-        return started != UNKNOWN_START or 2 * telling <= len(self._tells)
+        reporting = sum(self._reports_start.values())
+        return started != UNKNOWN_START or 2 * reporting <= len(self._reports_start)
--- a/knapweedrail/relay/patience.py
+++ b/knapweedrail/relay/patience.py
@@ -11,12 +11,12 @@
 from .models import Route
 from .views import RunnerView
 
-PATIENCE_FACTOR = 0.4
+MAX_WAIT_FACTOR = 0.4
 """How many times a route's objective prompts may wait at every runner before the relay
 sends no more there. Reading a prompt takes half of the objective at the median, so what
 comes behind a longer wait is surely late, and all that come after it as well."""
 
-RETURN_SPREAD = (1.0, 1.5)
+RETRY_AFTER_SPREAD = (1.0, 1.5)
 """Bounds of what the wait is multiplied by to say when to come back: as long as the
 queue has grown it takes to shrink, and callers refused together come back apart."""
 
@@ -34,12 +34,12 @@
     Args:
         rank: Urgency of the request; less urgent ones are read after it.
     """
-    return min((view.measure_wait(rank, now) for view in views), default=0.0)
+    return min((view.estimate_wait(rank, now) for view in views), default=0.0)
 
 
 def plan_return(wait: float, route: Route, rng: random.Random) -> float | None:
     """Return when a prompt that waits so long should come back, or ``None`` if it
     should be sent, seconds."""
-    if wait <= PATIENCE_FACTOR * route.objective:
+    if wait <= MAX_WAIT_FACTOR * route.objective:
         return None
-    return wait * rng.uniform(*RETURN_SPREAD)
+    return wait * rng.uniform(*RETRY_AFTER_SPREAD)
--- a/knapweedrail/relay/runners.py
+++ b/knapweedrail/relay/runners.py
@@ -12,52 +12,52 @@
 import attrs
 
 from ..limits import FindStanding, LimitNews, measure_next_turn, stand_alone
-from .lives import Lives, Reading
+from .lives import IncarnationTracker, Reading
 from .models import UNKNOWN_START, Runner, RunnerLife, RunnerState
 from .views import RunnerView
 
-PREFIX_SECONDS = 9.0
+PREFIX_TTL_SECONDS = 9.0
 """How long a prefix that was sent to a runner counts as still in its memory. Runners
 drop what was used least recently, and are full after some ten seconds of heavy load."""
 
-MOST_PREFIXES = 10_000
+MAX_PREFIXES = 10_000
 """Prefixes remembered; the oldest go first. About 2 MB."""
 
-FULL_SECONDS = 0.15
+REJECTION_BACKOFF_SECONDS = 0.15
 """How long a runner that rejected a request for want of room gets no other: about
 the time in which one of its slots comes free. Sooner costs a wasted arrival."""
 
-SMOOTHING = 0.2
+EWMA_WEIGHT = 0.2
 """Weight of the newest answer in the running means: the last ten or so count."""
 
-BAD_SHARE = 0.5
+EJECTION_FAILURE_RATE = 0.5
 """Share of answers that must have failed, of the last ten or so, to eject a runner.
 One that spoils a few in a hundred is better than more load on all others; one that
 fails half of them costs more retries than it carries work."""
 
-FIRST_EJECTION_SECONDS = 1.0
-LONGEST_EJECTION_SECONDS = 8.0
+BASE_EJECTION_SECONDS = 1.0
+MAX_EJECTION_SECONDS = 8.0
 """Times without work: doubled at each further failure. A runner that died leaves the
 store's list after some seconds; one that was restarted is back in about that time,
 and each trial costs a caller at most one retry."""
 
-CUT_SECONDS = 1.0
+PARTITION_SECONDS = 1.0
 """How long the runners of a data centre get no work after one of them was silent and
 none answered. Then one request tries again; while it is cut off, that costs one caller
 a second some hundred milliseconds, instead of one for each of its runners."""
 
-ANSWER_SECONDS = 1.0
+RECENT_ANSWER_SECONDS = 1.0
 """How recent an answer from a data centre must be to show that it can be reached: some
 four of them come in that time from each of three, at twelve requests a second."""
 
-LEAST_SILENT = 2
+MIN_UNREACHABLE_DATA_CENTRES = 2
 """Other data centres that must be silent for the own one to count as cut off."""
 
 SLOW_FACTOR = 3.0
 """How many times slower than the median a runner must answer to be passed over
 where others have room. Runners of one service differ by up to about twice."""
 
-MOST_SLOW_FACTOR = 8.0
+MAX_SLOW_FACTOR = 8.0
 """Bound on how much a slow runner's load is weighed up; beyond it, it gets nothing
 while others have room, and a trial now and then tells when it is well again."""
 
@@ -75,15 +75,15 @@
     """
 
     def __init__(self, doubt: float) -> None:
-        self._doubt = doubt
+        self._grace_seconds = doubt
         self._views: dict[str, RunnerView] = {}
         self._by_endpoint: dict[str, dict[str, RunnerView]] = {}
         self.mean_tokens = 0.0
-        self._lives = Lives()
+        self._incarnations = IncarnationTracker()
         self._prefixes: OrderedDict[str, tuple[RunnerLife, float]] = OrderedDict()
-        self._answered_at: dict[str, float] = {}
-        self._cut_until: dict[str, float] = {}
-        self._presumed: set[str] = set()
+        self._last_answer_at: dict[str, float] = {}
+        self._partitioned_until: dict[str, float] = {}
+        self._unlisted: set[str] = set()
         self._rng = random.Random()
         self.find_standing: FindStanding = stand_alone
 
@@ -96,13 +96,13 @@
 
     def list_views(self, endpoint: str, now: float) -> list[RunnerView]:
         """Return the endpoint's runners that are neither leaving nor gone."""
-        self._drop_missed(now)
+        self._expire_absent(now)
         views = self._by_endpoint.get(endpoint, {}).values()
         ready = [v for v in views if v.runner.state is RunnerState.READY]
         listed = [v for v in ready if v.gone_at is None]
         if listed:
             return listed
-        return [v for v in ready if now - (v.gone_at or 0.0) < self._doubt]
+        return [v for v in ready if now - (v.gone_at or 0.0) < self._grace_seconds]
 
     def count_listed(self) -> dict[str, float]:
         """Return the number of runners that are ready, by endpoint."""
@@ -118,7 +118,7 @@
 
     def set_runner(self, runner: Runner) -> Reading:
         """Take in a runner's entry, new or changed."""
-        if not self._lives.admit(runner.life):
+        if not self._incarnations.observe(runner.life):
             return Reading.OUTDATED
         reading = Reading.TAKEN
         view = self._views.get(runner.name)
@@ -130,10 +130,10 @@
             view = RunnerView(runner)
             self._views[runner.name] = view
         elif view.runner.endpoint != runner.endpoint:
-            self._drop_listed(view.runner)
+            self._remove_from_endpoint(view.runner)
         view.runner = runner
         view.gone_at = None
-        self._presumed.discard(runner.name)
+        self._unlisted.discard(runner.name)
         self._by_endpoint.setdefault(runner.endpoint, {})[runner.name] = view
         return reading
 
@@ -144,7 +144,7 @@
         they would make it look busy, slow or failing by what another process did.
         """
         view.superseded = True
-        self._drop_listed(view.runner)
+        self._remove_from_endpoint(view.runner)
 
     def find_runner(self, name: str) -> Runner | None:
         """Return the runner of a name, if one is known."""
@@ -173,22 +173,25 @@
         ended = self._views.get(life.name)
         if ended is not None and ended.life == life:
             self.remove_runner(life.name, now)
-        self._presumed.add(successor.name)
+        self._unlisted.add(successor.name)
         return True
 
     def note_list(self, now: float) -> None:
         """Take in that the list is as known: what is only presumed isn't there."""
-        for name in self._presumed:
+        for name in self._unlisted:
             view = self._views[name]
-            if view.missed_at is None:
-                view.missed_at = now
-
-    def _drop_missed(self, now: float) -> None:
-        for view in [self._views[name] for name in self._presumed]:
-            if view.missed_at is not None and now - view.missed_at >= self._doubt:
-                self._presumed.discard(view.runner.name)
+            if view.absent_since is None:
+                view.absent_since = now
+
+    def _expire_absent(self, now: float) -> None:
+        for view in [self._views[name] for name in self._unlisted]:
+            if (
+                view.absent_since is not None
+                and now - view.absent_since >= self._grace_seconds
+            ):
+                self._unlisted.discard(view.runner.name)
                 # Past doubt: it is out of use, also if no other runner is left.
-                view.gone_at = view.missed_at
+                view.gone_at = view.absent_since
 
     def remove_runner(
         self, name: str, now: float, started: int = UNKNOWN_START
@@ -201,7 +204,7 @@
         view = self._views.get(name)
         if view is None or UNKNOWN_START < started < view.runner.started:
             return
-        self._presumed.discard(name)
+        self._unlisted.discard(name)
         if view.gone_at is None:
             view.gone_at = now
 
@@ -219,15 +222,15 @@
             view.runner
             for view in self._views.values()
             if view.gone_at is not None
-            and now - view.gone_at >= self._doubt
+            and now - view.gone_at >= self._grace_seconds
             and not view.running
         ]
         for runner in gone:
             del self._views[runner.name]
-            self._drop_listed(runner)
+            self._remove_from_endpoint(runner)
         return gone
 
-    def _drop_listed(self, runner: Runner) -> None:
+    def _remove_from_endpoint(self, runner: Runner) -> None:
         views = self._by_endpoint[runner.endpoint]
         del views[runner.name]
         if not views:
@@ -243,24 +246,24 @@
     ) -> None:
         """Count a request that goes to a runner, with its prompt tokens."""
         view.running += 1
-        if view.limited.limit is not None:
-            view.limited.limit.sent_at = now
-        view.unread += tokens
-        view.waiting[attempt] = (now, rank)
-        self.mean_tokens += SMOOTHING * (tokens - self.mean_tokens)
+        if view.limit_record.limit is not None:
+            view.limit_record.limit.sent_at = now
+        view.pending_prompt_tokens += tokens
+        view.awaiting_first_byte[attempt] = (now, rank)
+        self.mean_tokens += EWMA_WEIGHT * (tokens - self.mean_tokens)
 
     def note_begun(self, view: RunnerView, tokens: int, attempt: object) -> None:
         """Count that a request's answer has begun, or that its attempt has failed."""
-        view.unread -= tokens
-        del view.waiting[attempt]
+        view.pending_prompt_tokens -= tokens
+        del view.awaiting_first_byte[attempt]
 
     def note_wait(
-        self, view: RunnerView, seconds: float, gave_up: bool, now: float
+        self, view: RunnerView, seconds: float, abandoned: bool, now: float
     ) -> None:
         """Take in how long a prompt waited, and whether it was given up."""
-        view.waited = seconds
-        view.waited_at = now
-        view.gave_up = gave_up
+        view.last_wait = seconds
+        view.last_wait_at = now
+        view.last_wait_abandoned = abandoned
 
     def note_ended(self, view: RunnerView) -> None:
         """Count the end of a request at a runner."""
@@ -272,20 +275,20 @@
             return
         self._prefixes[prefix] = (view.life, now)
         self._prefixes.move_to_end(prefix)
-        if len(self._prefixes) > MOST_PREFIXES:
+        if len(self._prefixes) > MAX_PREFIXES:
             self._prefixes.popitem(last=False)
 
-    def find_prefix(self, prefix: str, now: float) -> RunnerLife | None:
+    def find_runner_with_prefix(self, prefix: str, now: float) -> RunnerLife | None:
         """Return the runner that a prefix was sent to lately."""
         life, at = self._prefixes.get(prefix, (None, float("-inf")))
-        return life if now - at < PREFIX_SECONDS else None
+        return life if now - at < PREFIX_TTL_SECONDS else None
 
     def note_load(
         self, view: RunnerView, running: int, waiting: int, now: float
     ) -> None:
         """Take in a runner's own word on the requests it runs and keeps waiting."""
-        view.others = max(0.0, running + waiting - view.running)
-        view.others_waiting = min(view.others, float(waiting))
+        view.other_requests = max(0.0, running + waiting - view.running)
+        view.other_requests_waiting = min(view.other_requests, float(waiting))
         view.reported_at = now
 
     def note_limit(
@@ -299,9 +302,9 @@
         """
         if view.superseded:
             return None
-        if not view.limited.note_named(rate, now, self._rng, sent_at):
+        if not view.limit_record.note_named(rate, now, self._rng, sent_at):
             return None
-        record, life = view.limited, view.life
+        record, life = view.limit_record, view.life
         return LimitNews(life.name, life.started, record.told, record.number)
 
     def hear_limit(self, news: LimitNews, now: float) -> bool:
@@ -309,15 +312,17 @@
         view = self._views.get(news.runner)
         if view is None or view.life.started != news.started:
             return False
-        return view.limited.hear(news, now, self._rng)
+        return view.limit_record.hear(news, now, self._rng)
 
-    def measure_pause(self, view: RunnerView, rank: int | None, now: float) -> float:
+    def compute_limit_delay(
+        self, view: RunnerView, rank: int | None, now: float
+    ) -> float:
         """Return after which time a runner's limit lets this relay send to it.
 
         Args:
             rank: Urgency of the request, 0 first.
         """
-        limit = view.limited.limit
+        limit = view.limit_record.limit
         if limit is None:
             return 0.0
         standing = self.find_standing(view.runner.name, limit.rate)
@@ -325,7 +330,7 @@
 
     def admits(self, view: RunnerView, rank: int | None, now: float) -> bool:
         """Return whether a runner's limit lets this relay send it a request now."""
-        return self.measure_pause(view, rank, now) <= 0
+        return self.compute_limit_delay(view, rank, now) <= 0
 
     def measure_next_turn(
         self, endpoint: str, rank: int | None, now: float
@@ -337,13 +342,15 @@
         views = self.list_views(endpoint, now)
         if not views or any(self.admits(view, rank, now) for view in views):
             return None
-        limits = [view.limited.limit for view in views]
+        limits = [view.limit_record.limit for view in views]
         return measure_next_turn(limit.rate for limit in limits if limit is not None)
 
     def is_rested(self, view: RunnerView, now: float) -> bool:
         """Return whether nothing that was seen keeps work from a runner."""
-        cut = now < self._cut_until.get(view.runner.data_centre, float("-inf"))
-        return not cut and view.is_rested(now)
+        partitioned = now < self._partitioned_until.get(
+            view.runner.data_centre, float("-inf")
+        )
+        return not partitioned and view.is_rested(now)
 
     def note_silence(self, view: RunnerView, now: float) -> bool:
         """Take in that nothing came from a runner; return whether a cut is new by it.
@@ -355,10 +362,13 @@
         data_centre = view.runner.data_centre
         if view.superseded:
             return False
-        if now - self._answered_at.get(data_centre, float("-inf")) < ANSWER_SECONDS:
+        if (
+            now - self._last_answer_at.get(data_centre, float("-inf"))
+            < RECENT_ANSWER_SECONDS
+        ):
             return False
-        known = now < self._cut_until.get(data_centre, float("-inf"))
-        self._cut_until[data_centre] = now + CUT_SECONDS
+        known = now < self._partitioned_until.get(data_centre, float("-inf"))
+        self._partitioned_until[data_centre] = now + PARTITION_SECONDS
         return not known
 
     def is_cut_off(self, data_centre: str, now: float) -> bool:
@@ -367,12 +377,14 @@
         With two others or more that say nothing at once, it is the own one that is cut
         off; a single one may have lost power.
         """
-        silent = {one for one, until in self._cut_until.items() if now < until}
-        silent.discard(data_centre)
-        if len(silent) < LEAST_SILENT:
+        unreachable = {
+            one for one, until in self._partitioned_until.items() if now < until
+        }
+        unreachable.discard(data_centre)
+        if len(unreachable) < MIN_UNREACHABLE_DATA_CENTRES:
             return False
         others = {view.runner.data_centre for view in self._views.values()}
-        return others - {data_centre} <= silent
+        return others - {data_centre} <= unreachable
 
     def has_local(self, endpoint: str, data_centre: str, now: float) -> bool:
         """Return whether an endpoint has a runner in a data centre."""
@@ -383,19 +395,19 @@
         """Take in a sound answer, and how long its first byte took."""
         if view.superseded:
             return
-        self._answered_at[view.runner.data_centre] = now
-        self._cut_until.pop(view.runner.data_centre, None)
-        view.failing -= SMOOTHING * view.failing
-        if view.failing < BAD_SHARE / 2:
+        self._last_answer_at[view.runner.data_centre] = now
+        self._partitioned_until.pop(view.runner.data_centre, None)
+        view.failing -= EWMA_WEIGHT * view.failing
+        if view.failing < EJECTION_FAILURE_RATE / 2:
             view.ejection = 0.0
         if view.latency:
-            view.latency += SMOOTHING * (seconds - view.latency)
+            view.latency += EWMA_WEIGHT * (seconds - view.latency)
         else:
             view.latency = seconds
 
     def note_full(self, view: RunnerView, now: float) -> None:
         """Take in that a runner rejected a request for want of room."""
-        view.full_until = now + FULL_SECONDS
+        view.backoff_until = now + REJECTION_BACKOFF_SECONDS
 
     def note_failure(self, view: RunnerView, now: float, certain: bool) -> bool:
         """Take in a failed answer; return whether the runner is ejected for it.
@@ -407,10 +419,10 @@
         """
         if view.superseded:
             return False
-        view.failing += SMOOTHING * (1.0 - view.failing)
-        if not certain and view.failing < BAD_SHARE:
+        view.failing += EWMA_WEIGHT * (1.0 - view.failing)
+        if not certain and view.failing < EJECTION_FAILURE_RATE:
             return False
-        longer = max(FIRST_EJECTION_SECONDS, 2 * view.ejection)
-        view.ejection = min(LONGEST_EJECTION_SECONDS, longer)
+        longer = max(BASE_EJECTION_SECONDS, 2 * view.ejection)
+        view.ejection = min(MAX_EJECTION_SECONDS, longer)
         view.ejected_until = now + view.ejection
         return True
--- a/knapweedrail/relay/selection.py
+++ b/knapweedrail/relay/selection.py
@@ -10,10 +10,10 @@
 
 from ..hashing import hash_pair
 from .models import CallerRequest, PromptPart, RunnerLife
-from .runners import MOST_SLOW_FACTOR, SLOW_FACTOR, RunnerTable
+from .runners import MAX_SLOW_FACTOR, SLOW_FACTOR, RunnerTable
 from .views import RunnerView
 
-RUNNING_TOKENS = 60.0
+RUNNING_REQUEST_TOKENS = 60.0
 """Prompt tokens that one running request weighs. Every request that a runner generates
 for makes each of its steps a little longer; it matters where little is to be read."""
 
@@ -47,12 +47,12 @@
     ]
     if not untried:
         return None
-    rested = [view for view in untried if table.is_rested(view, now)]
-    if not rested:
-        return min(untried, key=lambda v: max(v.ejected_until, v.full_until))
+    available = [view for view in untried if table.is_rested(view, now)]
+    if not available:
+        return min(untried, key=lambda v: max(v.ejected_until, v.backoff_until))
     if request.parts:
-        return _choose_by_prefix(table, rested, request.parts, now)
-    return _choose_by_load(rested, data_centre, now, rng)
+        return _choose_by_prefix(table, available, request.parts, now)
+    return _choose_by_load(available, data_centre, now, rng)
 
 
 def find_shared_part(parts: tuple[PromptPart, ...]) -> PromptPart:
@@ -83,20 +83,20 @@
     other prefix moves.
     """
     shared = find_shared_part(parts)
-    home = min(views, key=lambda v: hash_pair(shared.name, v.runner.name))
-    recent = table.find_prefix(shared.name, now)
-    norm = _compute_norm(views)
+    preferred = min(views, key=lambda v: hash_pair(shared.name, v.runner.name))
+    recent = table.find_runner_with_prefix(shared.name, now)
+    median_latency = _compute_median_latency(views)
 
-    def weigh(view: RunnerView) -> float:
+    def compute_cost(view: RunnerView) -> float:
         tokens = view.estimate_unread(table.mean_tokens, now)
-        tokens += RUNNING_TOKENS * view.estimate_load(now)
-        if view is not home and view.life != recent:
+        tokens += RUNNING_REQUEST_TOKENS * view.estimate_load(now)
+        if view is not preferred and view.life != recent:
             tokens += shared.tokens
-        if norm and view.latency > SLOW_FACTOR * norm:
-            tokens += table.mean_tokens * view.latency / norm
+        if median_latency and view.latency > SLOW_FACTOR * median_latency:
+            tokens += table.mean_tokens * view.latency / median_latency
         return tokens
 
-    return min(views, key=weigh)
+    return min(views, key=compute_cost)
 
 
 def _choose_by_load(
@@ -108,18 +108,20 @@
     comes with every answer tells of others. Ties are drawn, the relay's own data
     centre first, so that relays don't all take the same one.
     """
-    norm = _compute_norm(views)
+    median_latency = _compute_median_latency(views)
 
-    def weigh(view: RunnerView) -> tuple[float, bool, float]:
-        factor = view.latency / norm if norm and view.latency else 1.0
-        factor = min(MOST_SLOW_FACTOR, max(1.0, factor))
+    def compute_cost(view: RunnerView) -> tuple[float, bool, float]:
+        factor = (
+            view.latency / median_latency if median_latency and view.latency else 1.0
+        )
+        factor = min(MAX_SLOW_FACTOR, max(1.0, factor))
         load = (view.estimate_load(now) + 1) / view.runner.slots * factor
         return round(load, 2), view.runner.data_centre != data_centre, rng.random()
 
-    return min(views, key=weigh)
+    return min(views, key=compute_cost)
 
 
-def _compute_norm(views: list[RunnerView]) -> float:
+def _compute_median_latency(views: list[RunnerView]) -> float:
     """Return the median time to the first byte; 0 when too little is known."""
     known = [view.latency for view in views if view.latency]
     return statistics.median(known) if len(known) >= 2 else 0.0
--- a/knapweedrail/relay/views.py
+++ b/knapweedrail/relay/views.py
@@ -10,7 +10,7 @@
 from ..limits import LimitRecord
 from .models import Runner, RunnerLife
 
-REPORT_SECONDS = 1.0
+LOAD_REPORT_TTL_SECONDS = 1.0
 """How long a runner's own word on its load counts. Work here lasts a second or less
 at the median, so an older report tells nothing of now."""
 
@@ -47,31 +47,33 @@
     runner: Runner
     life: RunnerLife = attrs.field(init=False)
     running: int = 0
-    unread: int = 0
-    waiting: dict[object, tuple[float, int | None]] = attrs.field(factory=dict)
-    waited: float = 0.0
-    waited_at: float = float("-inf")
-    gave_up: bool = False
-    others: float = 0.0
-    others_waiting: float = 0.0
+    pending_prompt_tokens: int = 0
+    awaiting_first_byte: dict[object, tuple[float, int | None]] = attrs.field(
+        factory=dict
+    )
+    last_wait: float = 0.0
+    last_wait_at: float = float("-inf")
+    last_wait_abandoned: bool = False
+    other_requests: float = 0.0
+    other_requests_waiting: float = 0.0
     reported_at: float = float("-inf")
     failing: float = 0.0
     latency: float = 0.0
     ejected_until: float = float("-inf")
     ejection: float = 0.0
-    full_until: float = float("-inf")
+    backoff_until: float = float("-inf")
     gone_at: float | None = None
-    missed_at: float | None = None
-    limited: LimitRecord = attrs.field(factory=LimitRecord)
+    absent_since: float | None = None
+    limit_record: LimitRecord = attrs.field(factory=LimitRecord)
     superseded: bool = False
 
     @life.default
-    def _find_life(self) -> RunnerLife:
+    def _get_incarnation(self) -> RunnerLife:
         return self.runner.life
 
     def estimate_load(self, now: float) -> float:
         """Return the requests it works on: ours exactly, others' by its report."""
-        return self.running + self._weigh_report(now) * self.others
+        return self.running + self._compute_report_weight(now) * self.other_requests
 
     def estimate_unread(self, mean_tokens: float, now: float) -> float:
         """Return the prompt tokens that it has to read before a new request's.
@@ -79,25 +81,25 @@
         Args:
             mean_tokens: Prompt tokens of a request, as a mean, for those of others.
         """
-        others = self._weigh_report(now) * self.others_waiting
-        return self.unread + others * mean_tokens
+        others = self._compute_report_weight(now) * self.other_requests_waiting
+        return self.pending_prompt_tokens + others * mean_tokens
 
-    def measure_wait(self, rank: int | None, now: float) -> float:
+    def estimate_wait(self, rank: int | None, now: float) -> float:
         """Return how long a new request would wait at least, as far as seen.
 
         What the last one waited counts only where others are waiting still: a long
         prompt takes long to read, and a runner that has read it may be idle.
         """
-        left = max(0.0, self.waited - (now - self.waited_at))
-        for sent_at, other in self.waiting.values():
+        left = max(0.0, self.last_wait - (now - self.last_wait_at))
+        for sent_at, other in self.awaiting_first_byte.values():
             if rank is None or other is None or other <= rank:
                 return max(left, now - sent_at)
-        others = self._weigh_report(now) * self.others_waiting
-        return left if others or self.gave_up else 0.0
+        others = self._compute_report_weight(now) * self.other_requests_waiting
+        return left if others or self.last_wait_abandoned else 0.0
 
-    def _weigh_report(self, now: float) -> float:
-        return max(0.0, 1.0 - (now - self.reported_at) / REPORT_SECONDS)
+    def _compute_report_weight(self, now: float) -> float:
+        return max(0.0, 1.0 - (now - self.reported_at) / LOAD_REPORT_TTL_SECONDS)
 
     def is_rested(self, now: float) -> bool:
         """Return whether neither failures nor a rejection keep work from it."""
-        return now >= self.ejected_until and now >= self.full_until
+        return now >= self.ejected_until and now >= self.backoff_until
--- a/knapweedrail/tests/test_relay_isolation.py
+++ b/knapweedrail/tests/test_relay_isolation.py
@@ -5,8 +5,12 @@
 import pytest
 
 from ..relay.models import Repetition
-from ..relay.pressure import MOVE_SECONDS, REST_SECONDS, Pressure
-from ..relay.runners import CUT_SECONDS, RunnerTable
+from ..relay.pressure import (
+    BALANCER_REACTION_SECONDS,
+    MIN_OUT_OF_ROTATION_SECONDS,
+    Pressure,
+)
+from ..relay.runners import PARTITION_SECONDS, RunnerTable
 from .relays_in_memory import (
     ScriptedRunner,
     answer_well,
@@ -28,67 +32,70 @@
     return table
 
 
-def silence(table, now, but="dc"):
+def time_out(table, now, reachable="dc"):
     for view in table.list_views("e", now):
-        if view.runner.data_centre != but:
+        if view.runner.data_centre != reachable:
             table.note_silence(view, now)
 
 
-def test_a_data_centre_is_cut_off_when_all_others_are_silent():
+def test_data_centre_is_partitioned_when_all_others_are_unreachable():
     table = make_table("dc", "east", "west")
     east = table.list_views("e", 0.0)[1]
     table.note_silence(east, 10.0)
     assert not table.is_cut_off("dc", 10.1)
-    silence(table, 10.1)
+    time_out(table, 10.1)
     assert table.is_cut_off("dc", 10.2)
-    assert not table.is_cut_off("dc", 10.2 + CUT_SECONDS)
+    assert not table.is_cut_off("dc", 10.2 + PARTITION_SECONDS)
     table.note_answer(east, 0.1, 10.3)
     assert not table.is_cut_off("dc", 10.3)
 
 
-def test_one_other_data_centre_that_is_silent_may_have_lost_power():
+def test_one_unreachable_data_centre_is_no_partition():
     """There are two data centres, and the other one loses power. Callers sent away from
     here would find nobody there."""
     table = make_table("dc", "east")
-    silence(table, 10.0)
+    time_out(table, 10.0)
     assert not table.is_cut_off("dc", 10.1)
 
 
-def test_callers_are_told_to_come_back_when_the_balancer_has_moved_them():
+def test_retry_after_covers_the_reaction_time_of_the_balancer():
     pressure = Pressure()
     assert pressure.note_cut_off(10.0)
-    assert pressure.is_out(10.0 + REST_SECONDS - 0.1)
+    assert pressure.is_out(10.0 + MIN_OUT_OF_ROTATION_SECONDS - 0.1)
     assert not pressure.note_cut_off(11.0)
-    assert pressure.measure_move(11.0) == pytest.approx(MOVE_SECONDS - 1.0)
+    assert pressure.measure_move(11.0) == pytest.approx(BALANCER_REACTION_SECONDS - 1.0)
     assert pressure.measure_move(20.0) == 0.0
-    assert not pressure.is_out(11.0 + REST_SECONDS)
+    assert not pressure.is_out(11.0 + MIN_OUT_OF_ROTATION_SECONDS)
 
 
-async def test_what_runs_only_elsewhere_is_refused_at_once_and_the_host_leaves():
+async def test_partitioned_host_refuses_remote_only_requests_and_leaves_rotation():
     """A data centre without engines is cut off. Each plan waited for four connections
     to time out, a second in all, and came back to the same data centre."""
     async with run_relay(make_configuration(SAFE)) as relay:
         relay.table.set_runner(make_runner("east", data_centre="east"))
         relay.table.set_runner(make_runner("west", data_centre="west"))
-        silence(relay.table, time.monotonic())
+        time_out(relay.table, time.monotonic())
         began_at = time.monotonic()
         answer = await relay.call()
         seconds = time.monotonic() - began_at
-        out = relay.gateway._services.pressure.is_out(time.monotonic())
+        out_of_rotation = relay.gateway._services.pressure.is_out(time.monotonic())
     assert answer.status == 503
     assert b'"ran":"not run"' in answer.body
-    assert float(answer.headers["retry-after"]) > MOVE_SECONDS - CUT_SECONDS
-    assert seconds < CUT_SECONDS
-    assert out
+    assert (
+        float(answer.headers["retry-after"])
+        > BALANCER_REACTION_SECONDS - PARTITION_SECONDS
+    )
+    assert seconds < PARTITION_SECONDS
+    assert out_of_rotation
 
 
-async def test_a_data_centre_with_runners_of_its_own_serves_on():
+async def test_partitioned_data_centre_with_local_runners_keeps_serving():
     runner = ScriptedRunner(answer_well)
     async with run_relay(make_configuration(SAFE), runner) as relay:
         relay.table.set_runner(make_runner("east", data_centre="east"))
         relay.table.set_runner(make_runner("west", data_centre="west"))
-        silence(relay.table, time.monotonic())
+        time_out(relay.table, time.monotonic())
         answer = await relay.call()
-        out = relay.gateway._services.pressure.is_out(time.monotonic())
+        out_of_rotation = relay.gateway._services.pressure.is_out(time.monotonic())
     assert answer.status == 200
-    assert not out
+    assert not out_of_rotation
--- a/knapweedrail/tests/test_relay_limits.py
+++ b/knapweedrail/tests/test_relay_limits.py
@@ -23,7 +23,7 @@
 pytestmark = pytest.mark.anyio
 
 WINDOW_SECONDS = 4.0
-TOLD_SECONDS = 0.5
+PROPAGATION_SECONDS = 0.5
 """Time after a relay's first answer with a limit from which on its requests count."""
 
 HOSTS = ("a", "b", "c")
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("header", ["Server_Limit", "Knapweedrail_Server_Limit"])
-async def test_three_relays_keep_the_limit_that_a_runner_names(header):
+async def test_three_relays_together_keep_the_limit_of_a_runner(header):
     """Guards against relays that send a runner in need what it can't take."""
     limited = LimitedRunner(1.5, header)
     runners = ScriptedRunner(limited.respond), ScriptedRunner(answer_well)
@@ -70,8 +70,8 @@
             answers.append(await relays[number % 3].call())
             await anyio.sleep(0.05)
     assert all(answer.status == 200 for answer in answers)
-    told = limited.arrivals[0] + TOLD_SECONDS
-    counted = [at for at in limited.arrivals if at >= told]
+    propagated_at = limited.arrivals[0] + PROPAGATION_SECONDS
+    counted = [at for at in limited.arrivals if at >= propagated_at]
     assert count_worst(counted) <= allow(1.5)
 
 
@@ -81,7 +81,7 @@
 RATES = [1.5, 20.0]
 
 
-def play(hosts, per_second, rate, seed, scenario, runners=8, heeds=None):
+def simulate(hosts, per_second, rate, seed, scenario, runners=8, heeds=None):
     """Play a scenario while a runner names a limit; return the fleet."""
     fleet = LimitFleet(hosts, runners, seed, heeds or (lambda host: True))
     fleet.send_for(3.0, per_second, None)
@@ -90,18 +90,18 @@
     return fleet
 
 
-def go_on(fleet, per_second):
+def run_steadily(fleet, per_second):
     fleet.send_for(14.0, per_second, None)
 
 
-def send_unevenly(fleet, per_second):
+def send_bursts_unevenly(fleet, per_second):
     """Callers of a few hosts send nearly all, then ten times as much for a while."""
     for _ in range(3):
         fleet.send_for(3.0, per_second, lambda host: 20.0 if host[-1] == "1" else 1.0)
         fleet.send_for(1.0, 10 * per_second, None)
 
 
-def cut_off(fleet, per_second):
+def partition(fleet, per_second):
     """Half of the hosts can't reach the others as the limit is first named."""
     fleet.part({host for host in fleet.relays if int(host[2:]) % 2})
     fleet.send_for(8.0, per_second, None)
@@ -130,33 +130,33 @@
     fleet.send_for(10.0, per_second, None)
 
 
-SCENARIOS = [go_on, send_unevenly, cut_off, freeze, restart]
+SCENARIOS = [run_steadily, send_bursts_unevenly, partition, freeze, restart]
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS)
 @pytest.mark.parametrize(("hosts", "per_second"), SIZES)
-def test_a_limit_holds_for_all_relays_together(hosts, per_second, scenario):
+def test_limit_holds_for_all_relays_together(hosts, per_second, scenario):
     """Guards against a sum of many relays' requests that is above a runner's limit."""
     for rate in RATES:
-        fleet = play(hosts, per_second, rate, hosts, scenario)
+        fleet = simulate(hosts, per_second, rate, hosts, scenario)
         assert fleet.count_worst("i-0") <= allow(rate)
 
 
 @pytest.mark.parametrize(("hosts", "per_second"), SIZES)
-def test_a_relay_that_ignores_limits_is_found(hosts, per_second):
+def test_relay_that_ignores_limits_is_detected(hosts, per_second):
     """Guards against a check that no fault would fail."""
 
     def send_to_one(fleet, per_second):
         fleet.send_for(15.0, per_second, lambda host: hosts if host == "h-0" else 1.0)
 
-    fleet = play(
+    fleet = simulate(
         hosts, per_second, 1.5, 1, send_to_one, heeds=lambda host: host != "h-0"
     )
     assert fleet.count_worst("i-0") > allow(1.5)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_limit_that_is_lowered_holds_and_one_that_is_over_is_forgotten(seed):
+def test_lowered_limit_holds_and_lifted_limit_is_dropped(seed):
     """Guards against relays that go by a limit which the runner names no more."""
     fleet = LimitFleet(9, 4, seed)
     fleet.limit("i-0", 6.0)
@@ -173,7 +173,7 @@
     assert fleet.runners["i-0"].served - before >= 0.15 * 5 * 60
 
 
-def test_what_limited_runners_take_is_used_and_the_rest_refused_at_once():
+def test_limited_runners_are_used_fully_and_the_rest_is_refused():
     """All runners of an endpoint are limited at once: callers are refused without a
     wait, and each runner gets a good part of what it takes."""
     fleet = LimitFleet(9, 4, seed=1)
@@ -188,11 +188,11 @@
     assert fleet.refused > 0
 
 
-async def test_relays_tell_each_other_of_limits():
+async def test_relays_send_each_other_limits():
     """Guards against a change of a limit that the others hear of by chance."""
-    heard = []
+    received = []
     server = make_server(
-        None, lambda lines: None, None, "127.0.0.1:0", hear_limits=heard.extend
+        None, lambda lines: None, None, "127.0.0.1:0", hear_limits=received.extend
     )
     await server.start()
     neighbours = Neighbours()
@@ -201,10 +201,10 @@
     await neighbours.tell_limits([member], news)
     await neighbours.close()
     await server.close()
-    assert heard == news
+    assert received == news
 
 
-async def test_only_a_good_answer_of_the_runner_ends_its_limit():
+async def test_only_a_successful_answer_lifts_a_limit():
     """Guards against a limit that is forgotten while the runner is in need."""
     answers = [
         ("200", "2.0"),
@@ -226,13 +226,13 @@
         runner = ScriptedRunner(respond)
         async with run_relay(make_configuration(SAFE), runner) as relay:
             view = relay.table.list_views("e", 0.0)[0]
-            view.limited.note_named(2.0, time.monotonic() - 60, random.Random(1))
+            view.limit_record.note_named(2.0, time.monotonic() - 60, random.Random(1))
             await relay.call()
-            limits.append(view.limited.limit is not None)
+            limits.append(view.limit_record.limit is not None)
     assert limits == [True, True, True, True, False]
 
 
-def test_an_answer_that_was_overtaken_ends_no_limit():
+def test_overtaken_answer_does_not_lift_a_limit():
     """Guards against a limit forgotten for an answer that is older than it."""
     record, rng = LimitRecord(), random.Random(1)
     record.note_named(2.0, 10.0, rng, sent_at=9.0)
@@ -242,12 +242,12 @@
     assert record.limit is None
 
 
-async def test_callers_are_refused_at_once_when_every_runner_waits_for_its_turn():
+async def test_callers_are_refused_at_once_when_every_runner_is_limited():
     """Guards against callers that wait until their deadline for a limited runner."""
     runner = ScriptedRunner(answer_well)
     async with run_relay(make_configuration(SAFE), runner) as relay:
         view = relay.table.list_views("e", 0.0)[0]
-        view.limited.note_named(0.5, time.monotonic(), random.Random(1))
+        view.limit_record.note_named(0.5, time.monotonic(), random.Random(1))
         began_at = time.monotonic()
         answer = await relay.call()
         assert time.monotonic() - began_at < 0.2
--- a/knapweedrail/tests/test_relay_lives.py
+++ b/knapweedrail/tests/test_relay_lives.py
@@ -25,7 +25,7 @@
 
 OLD = 1_700_000_000_000
 NEW = OLD + 5000
-DOUBT = 1.9
+GRACE_SECONDS = 1.9
 
 
 def make_entry(born=None, **changes):
@@ -46,7 +46,7 @@
     """A table of runners, and the entries that it is told."""
 
     def __init__(self, table=None):
-        self.table = table or RunnerTable(DOUBT)
+        self.table = table or RunnerTable(GRACE_SECONDS)
         self.follower = RunnerFollower(
             MemoryStore(), "servers", 1.0, decode_runner, self.table
         )
@@ -70,7 +70,7 @@
         return self.table.list_views(endpoint, now)
 
 
-def give_work(table, view, now=10.0):
+def load_with_failures(table, view, now=10.0):
     """Have a request sent to a runner, and everything go wrong there."""
     attempt = object()
     table.note_sent(view, 500, attempt, 0, now)
@@ -83,108 +83,108 @@
     return attempt
 
 
-def is_fresh(view, now=10.0):
+def is_clean(view, now=10.0):
     loads = view.estimate_load(now), view.estimate_unread(100.0, now)
     return (
         loads == (0, 0)
-        and view.measure_wait(0, now) == 0.0
+        and view.estimate_wait(0, now) == 0.0
         and view.is_rested(now)
         and not (view.latency or view.failing or view.ejection)
     )
 
 
-async def test_a_runner_that_starts_again_is_believed_to_hold_and_know_nothing():
+async def test_restarted_runner_starts_with_clean_state():
     """A runner was full, slow and failing as it crashed. Its next life is idle and well
     under the same name, but stays ejected and unused while callers wait elsewhere."""
-    listed = Listed()
-    listed.write("i-0", OLD)
-    (before,) = listed.find()
-    give_work(listed.table, before)
-    listed.write("i-0", NEW, seq=1)
-    (view,) = listed.find()
-    assert is_fresh(view)
-    assert listed.table.find_prefix("part", 10.1) != view.runner.life
+    watched = Listed()
+    watched.write("i-0", OLD)
+    (before,) = watched.find()
+    load_with_failures(watched.table, before)
+    watched.write("i-0", NEW, seq=1)
+    (view,) = watched.find()
+    assert is_clean(view)
+    assert watched.table.find_runner_with_prefix("part", 10.1) != view.runner.life
 
 
-async def test_what_an_ended_life_still_tells_is_not_held_against_the_next():
+async def test_late_results_of_an_ended_incarnation_do_not_affect_the_next():
     """Requests sent to a life that crashed end one by one after the next is listed.
     Each would take one off the new life's load, or eject it for what it never did."""
-    listed = Listed()
-    listed.write("i-0", OLD)
-    (before,) = listed.find()
-    attempt = give_work(listed.table, before)
-    listed.write("i-0", NEW)
-    table = listed.table
+    watched = Listed()
+    watched.write("i-0", OLD)
+    (before,) = watched.find()
+    attempt = load_with_failures(watched.table, before)
+    watched.write("i-0", NEW)
+    table = watched.table
     table.note_begun(before, 500, attempt)
     table.note_ended(before)
     assert not table.note_failure(before, 11.0, certain=True)
     assert not table.note_silence(before, 12.5)
     table.note_prefix("part", before, 12.5)
     table.note_full(before, 12.5)
-    (view,) = listed.find()
-    assert is_fresh(view, 12.5)
+    (view,) = watched.find()
+    assert is_clean(view, 12.5)
     assert table.is_rested(view, 12.5)
-    assert table.find_prefix("part", 12.5) != view.runner.life
+    assert table.find_runner_with_prefix("part", 12.5) != view.runner.life
 
 
-async def test_an_answer_of_an_ended_life_does_not_end_a_cut():
+async def test_answer_of_an_ended_incarnation_does_not_end_a_partition():
     """It was on its way before the cut. Taken for a sign that the data centre can be
     reached, it would send a caller to each of its silent runners."""
-    listed = Listed()
-    listed.write("i-0", OLD)
-    (before,) = listed.find()
-    listed.write("i-0", NEW)
-    (view,) = listed.find()
-    assert listed.table.note_silence(view, 20.0)
-    listed.table.note_answer(before, 0.1, 20.1)
-    assert not listed.table.is_rested(view, 20.2)
+    watched = Listed()
+    watched.write("i-0", OLD)
+    (before,) = watched.find()
+    watched.write("i-0", NEW)
+    (view,) = watched.find()
+    assert watched.table.note_silence(view, 20.0)
+    watched.table.note_answer(before, 0.1, 20.1)
+    assert not watched.table.is_rested(view, 20.2)
 
 
-async def test_a_late_entry_of_an_earlier_life_changes_nothing():
+async def test_late_entry_of_an_earlier_incarnation_is_ignored():
     """A write of a life that has ended is carried out seconds late. The next life would
     count as leaving, or get its requests at an address where nobody listens."""
-    listed = Listed()
-    listed.write("i-0", NEW)
-    (view,) = listed.find()
+    watched = Listed()
+    watched.write("i-0", NEW)
+    (view,) = watched.find()
     attempt = object()
-    listed.table.note_sent(view, 500, attempt, 0, 10.0)
-    listed.write("i-0", OLD, state="draining", address="127.0.0.1:9", seq=900)
-    listed.write("i-0", None, state="draining")
-    listed.remove("i-0", OLD)
-    listed.list(**{"i-0": make_entry(OLD, address="127.0.0.1:9")})
-    assert listed.find() == [view]
+    watched.table.note_sent(view, 500, attempt, 0, 10.0)
+    watched.write("i-0", OLD, state="draining", address="127.0.0.1:9", seq=900)
+    watched.write("i-0", None, state="draining")
+    watched.remove("i-0", OLD)
+    watched.list(**{"i-0": make_entry(OLD, address="127.0.0.1:9")})
+    assert watched.find() == [view]
     assert view.runner.address == "127.0.0.1:1" and view.running == 1
 
 
-async def test_a_late_entry_does_not_bring_an_ended_life_back():
+async def test_late_entry_does_not_restore_a_pruned_incarnation():
     """Both lives of a runner are over, and the relay has forgotten it. A write of the
     first one lands then: requests would go to nobody."""
-    listed = Listed()
-    listed.write("i-0", OLD)
-    listed.write("i-0", NEW)
-    listed.table.remove_runner("i-0", 10.0)
-    assert listed.table.prune(20.0)
-    listed.write("i-0", OLD)
-    assert listed.find() == []
-    assert listed.find(now=20.0) == []
+    watched = Listed()
+    watched.write("i-0", OLD)
+    watched.write("i-0", NEW)
+    watched.table.remove_runner("i-0", 10.0)
+    assert watched.table.prune(20.0)
+    watched.write("i-0", OLD)
+    assert watched.find() == []
+    assert watched.find(now=20.0) == []
 
 
-async def test_a_life_that_leaves_does_not_make_the_next_one_leave():
-    listed = Listed()
-    listed.write("i-0", OLD, state="draining")
-    assert listed.find() == []
-    listed.write("i-0", NEW)
-    assert len(listed.find()) == 1
+async def test_draining_incarnation_does_not_drain_the_next():
+    watched = Listed()
+    watched.write("i-0", OLD, state="draining")
+    assert watched.find() == []
+    watched.write("i-0", NEW)
+    assert len(watched.find()) == 1
 
 
-async def test_a_life_of_another_endpoint_gets_no_work_of_the_former_one():
+async def test_incarnation_at_another_endpoint_gets_no_requests_of_the_former_one():
     """A runner starts again for another service. Calls of the first one would be run by
     the wrong service."""
-    listed = Listed()
-    listed.write("i-0", OLD)
-    listed.write("i-0", NEW, service="other")
-    assert listed.find("e") == []
-    assert len(listed.find("other")) == 1
+    watched = Listed()
+    watched.write("i-0", OLD)
+    watched.write("i-0", NEW, service="other")
+    assert watched.find("e") == []
+    assert len(watched.find("other")) == 1
 
 
 @given(
@@ -199,40 +199,40 @@
         max_size=12,
     )
 )
-def test_the_newest_life_told_of_counts_in_whatever_order_word_comes(changes):
-    anyio.run(check_newest_life, changes)
+def test_newest_incarnation_wins_in_any_order_of_changes(changes):
+    anyio.run(check_newest_incarnation, changes)
 
 
-async def check_newest_life(changes):
-    listed = Listed()
+async def check_newest_incarnation(changes):
+    watched = Listed()
     newest, entry = 0, None
     for step, life, state, service in changes:
         spec = {"state": state, "service": service}
         if step == "remove":
-            listed.remove("i-0", OLD + life)
+            watched.remove("i-0", OLD + life)
             entry = None if life >= newest else entry
             continue
         if step == "write":
-            listed.write("i-0", OLD + life, **spec)
+            watched.write("i-0", OLD + life, **spec)
         else:
-            listed.list(**{"i-0": make_entry(OLD + life, **spec)})
+            watched.list(**{"i-0": make_entry(OLD + life, **spec)})
         if life >= newest:
             newest, entry = life, (state, service)
     for endpoint in ("e", "other"):
-        usable = listed.find(endpoint, now=float("inf"))
+        usable = watched.find(endpoint, now=float("inf"))
         assert len(usable) == (entry == ("ready", endpoint))
         assert all(view.runner.started == OLD + newest for view in usable)
 
 
 @pytest.mark.parametrize("born", [None, True, "1700000000000", 1.5, -1, 0, [], {}])
-async def test_a_start_that_is_none_names_no_runner(born):
-    listed = Listed()
-    listed.write("i-0", OLD)
-    listed.list(**{"i-0": make_entry(OLD), "i-1": make_entry() | {"born": born}})
-    assert [view.runner.name for view in listed.find()] == ["i-0"]
+async def test_entry_with_an_invalid_start_is_no_runner(born):
+    watched = Listed()
+    watched.write("i-0", OLD)
+    watched.list(**{"i-0": make_entry(OLD), "i-1": make_entry() | {"born": born}})
+    assert [view.runner.name for view in watched.find()] == ["i-0"]
 
 
-def test_a_start_far_ahead_names_no_runner_and_one_ahead_of_a_jump_does():
+def test_start_may_be_ahead_of_the_clock_by_seconds_but_not_a_minute():
     """Clocks of hosts differ, and jump by seconds. A start a minute ahead is another
     writer's, and no true life of that name would count until the minute is over."""
     clock = 1_700_000_000.0
@@ -245,15 +245,15 @@
         decode(int((clock + 60) * 1000))
 
 
-async def test_entries_that_tell_no_start_name_runners_as_ever():
-    listed = Listed()
-    listed.write("i-0")
-    assert len(listed.find()) == 1
-    listed.write("i-0", OLD)
-    assert [view.runner.started for view in listed.find()] == [OLD]
+async def test_entries_without_a_start_are_accepted():
+    watched = Listed()
+    watched.write("i-0")
+    assert len(watched.find()) == 1
+    watched.write("i-0", OLD)
+    assert [view.runner.started for view in watched.find()] == [OLD]
 
 
-def test_each_lost_life_of_a_runner_counts_against_a_request():
+def test_each_crashed_incarnation_counts_against_a_request():
     """One runner comes back under its name each time that the same request crashes it.
     Seen by three relays, the losses would count as one, and it would go on."""
     suspects = [Suspects() for _ in range(CRASHES)]
@@ -278,18 +278,18 @@
         return await answer_well(stream, head)
 
 
-async def test_a_new_life_gets_new_connections():
+async def test_new_incarnation_gets_new_connections():
     """A connection that is kept leads to the process that has ended; a reset is still
     on its way. Each request sent on it would have an unknown outcome."""
     counting = CountingRunner()
     runner = ScriptedRunner(counting.respond)
     configuration = make_configuration(make_route(Repetition.ONCE))
     async with run_relay(configuration, runner) as relay:
-        listed = Listed(relay.table)
-        listed.write("i-0", OLD, address=runner.address)
+        watched = Listed(relay.table)
+        watched.write("i-0", OLD, address=runner.address)
         for number in range(2):
             await relay.call(knapweedrail_request_id=f"old-{number}")
-        listed.write("i-0", NEW, address=runner.address)
+        watched.write("i-0", NEW, address=runner.address)
         for number in range(2):
             await relay.call(knapweedrail_request_id=f"new-{number}")
         await relay.pool.prune(0.0, relay.table.list_lives())
@@ -299,7 +299,7 @@
     assert first != third
 
 
-async def test_a_call_under_way_as_its_runner_starts_again_may_have_run():
+async def test_call_interrupted_by_a_restart_may_have_run():
     """The life that had the call has ended, and nobody knows what it did. The next one
     turns the same call away as full, which says nothing of the first: a booking that is
     told as not run would be made twice."""
@@ -308,7 +308,7 @@
     async def respond(stream, head):
         lives.append(len(lives))
         if len(lives) == 1:
-            listed.write("i-0", NEW, address=runner.address)
+            watched.write("i-0", NEW, address=runner.address)
             return False
         executed = {"Knapweedrail-Not-Executed": "1"}
         await stream.send(make_answer(head, b"", 503, **executed))
@@ -319,19 +319,19 @@
         lives.clear()
         route = make_route(repetition, max_runners=2)
         async with run_relay(make_configuration(route), runner) as relay:
-            listed = Listed(relay.table)
-            listed.write("i-0", OLD, address=runner.address)
+            watched = Listed(relay.table)
+            watched.write("i-0", OLD, address=runner.address)
             assert (await relay.call()).status == 502
             assert len(lives) == arrivals
 
 
-async def test_a_request_that_may_be_repeated_goes_to_the_next_life():
+async def test_repeatable_request_is_retried_at_the_next_incarnation():
     """The only runner has started again. What its former life broke off may run there,
     which is another runner; taken for the same one, the caller would be refused."""
 
     async def respond(stream, head):
         if len(runner.heads) == 1:
-            listed.write("i-0", NEW, address=runner.address)
+            watched.write("i-0", NEW, address=runner.address)
             return False
         return await answer_well(stream, head)
 
@@ -339,31 +339,33 @@
     async with run_relay(
         make_configuration(make_route(Repetition.SAFE)), runner
     ) as relay:
-        listed = Listed(relay.table)
-        listed.write("i-0", OLD, address=runner.address)
+        watched = Listed(relay.table)
+        watched.write("i-0", OLD, address=runner.address)
         with anyio.fail_after(3):
             assert (await relay.call()).status == 200
 
 
-async def test_what_an_ended_life_broke_off_is_not_blamed_on_the_next(monkeypatch):
+async def test_broken_call_of_an_ended_incarnation_is_not_blamed_on_the_next(
+    monkeypatch,
+):
     """A runner resets a call as it ends in good order, and its next life is gone again
     before it serves. Taken for one life, it would seem to have crashed by that call."""
-    told = []
+    crashes = []
     note_crash = Suspects.note_crash
 
-    def spy(suspects, runner, now):
-        told.append((runner, note_crash(suspects, runner, now)))
-        return told[-1][1]
+    def record_crash(suspects, runner, now):
+        crashes.append((runner, note_crash(suspects, runner, now)))
+        return crashes[-1][1]
 
     async def break_off(stream, head):
-        listed.write("i-0", NEW, address="127.0.0.1:1")
+        watched.write("i-0", NEW, address="127.0.0.1:1")
         return False
 
-    monkeypatch.setattr(Suspects, "note_crash", spy)
+    monkeypatch.setattr(Suspects, "note_crash", record_crash)
     runner = ScriptedRunner(break_off)
     route = make_route(Repetition.SAFE)
     async with run_relay(make_configuration(route), runner) as relay:
-        listed = Listed(relay.table)
-        listed.write("i-0", OLD, address=runner.address)
+        watched = Listed(relay.table)
+        watched.write("i-0", OLD, address=runner.address)
         await relay.call()
-    assert told == [(f"i-0@{NEW}", [])]
+    assert crashes == [(f"i-0@{NEW}", [])]
--- a/knapweedrail/tests/test_relay_patience.py
+++ b/knapweedrail/tests/test_relay_patience.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ..relay.models import Repetition
-from ..relay.patience import PATIENCE_FACTOR, find_wait, plan_return
+from ..relay.patience import MAX_WAIT_FACTOR, find_wait, plan_return
 from ..relay.runners import RunnerTable
 from .relays_in_memory import (
     ScriptedRunner,
@@ -22,82 +22,84 @@
 
 PROMPT = {"knapweedrail_prompt_prefix": "aa:100,bb:50"}
 OBJECTIVE_SECONDS = 0.5
-READ_SECONDS = 0.1
+PREFILL_SECONDS = 0.1
 """Time in which the modelled runner reads one prompt."""
 
-GIVE_UP_SECONDS = 2.0
+CALLER_TIMEOUT_SECONDS = 2.0
 
 
 def make_stream(objective):
     return make_route(Repetition.STREAM, objective=objective)
 
 
-class Queue:
+class SimulatedQueue:
     """One runner that reads prompts one after another, and callers that give up."""
 
-    def __init__(self, patient):
-        self.patient = patient
+    def __init__(self, unbounded):
+        self.unbounded = unbounded
         self.table = RunnerTable(doubt=1.9)
         self.table.set_runner(make_runner("i-0"))
         self.view = self.table.list_views("e", 0.0)[0]
         self.free_at = 0.0
-        self.begun = []
-        self.read_in_vain = 0
+        self.first_byte_waits = []
+        self.wasted_prefills = 0
         self.refused = 0
         self._queue = []
 
     def arrive(self, now):
-        self._read(now)
+        self._prefill(now)
         wait = find_wait([self.view], 0, now)
-        back = plan_return(wait, make_stream(OBJECTIVE_SECONDS), random.Random(1))
-        if not self.patient and back is not None:
+        retry_after = plan_return(
+            wait, make_stream(OBJECTIVE_SECONDS), random.Random(1)
+        )
+        if not self.unbounded and retry_after is not None:
             self.refused += 1
             return
-        key = object()
-        self.table.note_sent(self.view, 100, key, 0, now)
-        self._queue.append((now, key))
+        attempt = object()
+        self.table.note_sent(self.view, 100, attempt, 0, now)
+        self._queue.append((now, attempt))
 
-    def _read(self, now):
+    def _prefill(self, now):
         while self._queue:
-            sent_at, key = self._queue[0]
-            end = max(self.free_at, sent_at) + READ_SECONDS
+            sent_at, attempt = self._queue[0]
+            end = max(self.free_at, sent_at) + PREFILL_SECONDS
             if end > now:
                 return
             self._queue.pop(0)
             self.free_at = end
-            self.table.note_begun(self.view, 100, key)
+            self.table.note_begun(self.view, 100, attempt)
             self.table.note_wait(self.view, end - sent_at, False, end)
-            if end - sent_at > GIVE_UP_SECONDS:
-                self.read_in_vain += 1
+            if end - sent_at > CALLER_TIMEOUT_SECONDS:
+                self.wasted_prefills += 1
             else:
-                self.begun.append(end - sent_at)
+                self.first_byte_waits.append(end - sent_at)
 
 
-def play(patient, a_second, seconds=20):
-    queue = Queue(patient)
-    for number in range(a_second * seconds):
-        queue.arrive(number / a_second)
+def simulate(unbounded, per_second, seconds=20):
+    queue = SimulatedQueue(unbounded)
+    for number in range(per_second * seconds):
+        queue.arrive(number / per_second)
     return queue
 
 
-def test_an_overloaded_runner_reads_only_prompts_that_somebody_waits_for():
+def test_overloaded_runner_prefills_no_abandoned_prompts():
     """A cut leaves a data centre with one runner, which gets half again as many
     prompts as it reads. Queued without end, nearly all are read after their callers
     have left, and each of them has paid for it."""
-    before = play(patient=True, a_second=15)
-    after = play(patient=False, a_second=15)
-    assert before.read_in_vain > 100
-    assert after.read_in_vain == 0
-    assert len(after.begun) > 2 * len(before.begun)
-    assert max(after.begun) < GIVE_UP_SECONDS / 2
+    before = simulate(unbounded=True, per_second=15)
+    after = simulate(unbounded=False, per_second=15)
+    assert before.wasted_prefills > 100
+    assert after.wasted_prefills == 0
+    assert len(after.first_byte_waits) > 2 * len(before.first_byte_waits)
+    assert max(after.first_byte_waits) < CALLER_TIMEOUT_SECONDS / 2
 
 
-def test_a_runner_that_keeps_up_refuses_nobody():
-    queue = play(patient=False, a_second=9)
+def test_no_prompt_is_refused_when_the_runner_keeps_up():
+    queue = simulate(unbounded=False, per_second=9)
     assert queue.refused == 0
 
 
-def test_one_runner_that_hangs_keeps_no_prompt_from_the_others():
+def test_hung_runner_does_not_block_idle_ones():
     """A runner has gone silent with a prompt waiting there. The others are idle, and
     the next caller must not be sent away for it."""
     table = RunnerTable(doubt=1.9)
@@ -108,7 +110,7 @@
     assert find_wait(views, 0, 60.0) == 0.0
 
 
-def test_a_wait_that_was_seen_fades_as_fast_as_a_queue_can_shrink():
+def test_observed_wait_decays_as_fast_as_a_queue_can_shrink():
     """This relay's last prompt at an overloaded runner was just given up. Others'
     still stand there in line, and the next one would wait as long."""
     table = RunnerTable(doubt=1.9)
@@ -119,7 +121,7 @@
     assert find_wait(views, 0, 4.0) == 0.0
 
 
-def test_a_long_prompt_at_the_only_runner_keeps_nobody_away_once_it_is_read():
+def test_wait_of_a_finished_long_prompt_counts_only_while_others_wait():
     """There is one engine, and a farm's longest history took half a second to read.
     Nothing waits there any more, and the next caller must not be refused for it."""
     table = RunnerTable(doubt=1.9)
@@ -131,7 +133,7 @@
     assert find_wait(views, 0, 1.1) == pytest.approx(0.5)
 
 
-def test_urgent_prompts_are_not_refused_for_less_urgent_ones():
+def test_less_urgent_prompts_do_not_delay_urgent_ones():
     table = RunnerTable(doubt=1.9)
     table.set_runner(make_runner("i-0"))
     views = table.list_views("e", 0.0)
@@ -140,29 +142,29 @@
     assert find_wait(views, 3, 5.0) == 5.0
 
 
-async def test_a_prompt_that_cannot_begin_in_time_is_refused_at_once():
+async def test_prompt_that_cannot_start_in_time_is_refused_at_once():
     """The only runner is far behind. A caller used to wait for its whole deadline, and
     its account paid for a prompt that nobody read."""
 
-    async def read_for_ever(stream, head):
+    async def hang(stream, head):
         await anyio.sleep(30)
         await stream.send(make_answer(head))
         return True
 
-    runner = ScriptedRunner(read_for_ever)
+    runner = ScriptedRunner(hang)
     objective = 1.0
     configuration = make_configuration(make_stream(objective), prepaid=1000)
     async with run_relay(configuration, runner) as relay:
         async with anyio.create_task_group() as group:
 
-            async def wait_in_vain():
+            async def call_and_give_up():
                 usage = {"knapweedrail_token_usage": "100,10"}
                 await relay.call(leaves_after=2.0, **PROMPT, **usage)
 
-            group.start_soon(wait_in_vain)
+            group.start_soon(call_and_give_up)
             while not runner.heads:
                 await anyio.sleep(0.01)
-            await anyio.sleep(1.5 * PATIENCE_FACTOR * objective)
+            await anyio.sleep(1.5 * MAX_WAIT_FACTOR * objective)
             began_at = time.monotonic()
             usage = {"knapweedrail_token_usage": "100,10"}
             answer = await relay.call(knapweedrail_request_id="id-2", **PROMPT, **usage)
@@ -170,7 +172,7 @@
         position = relay.holdings._get("farm").allowance.position
     assert answer.status == 503
     assert b'"ran":"not run"' in answer.body
-    assert float(answer.headers["retry-after"]) >= PATIENCE_FACTOR * objective
+    assert float(answer.headers["retry-after"]) >= MAX_WAIT_FACTOR * objective
     assert seconds < objective
     assert len(runner.heads) == 1
     # The prompt of the first caller, which a runner may have read, and no other.
--- a/knapweedrail/tests/test_relay_selection.py
+++ b/knapweedrail/tests/test_relay_selection.py
@@ -37,11 +37,11 @@
     return choose_runner(table, "e", request, set(tried), "dc-0", now, rng)
 
 
-def get_view(table, name):
+def find_view(table, name):
     return next(v for v in table.list_views("e", 0.0) if v.runner.name == name)
 
 
-def test_relays_send_a_shared_prefix_to_the_same_runner_without_talking():
+def test_relays_choose_the_same_runner_for_a_shared_prefix():
     """Many callers ask about one farm. Each runner that reads its history anew loses
     the time of the whole prompt."""
     requests = [make_request("base", "farm-7", f"own-{n}") for n in range(20)]
@@ -52,7 +52,7 @@
     assert len(names) == 1
 
 
-def test_a_popular_prefix_spills_over_once_its_runner_has_too_much():
+def test_popular_prefix_spills_over_from_a_loaded_runner():
     """A third of all requests are about one farm. Its runner alone would keep them
     waiting while others idle."""
     table = make_table()
@@ -65,7 +65,7 @@
     assert max(counts.values()) <= 2 * 60 / 6
 
 
-def test_a_runner_that_goes_moves_only_its_own_prefixes():
+def test_removing_a_runner_moves_only_its_own_prefixes():
     parts = [make_request("base", f"farm-{n}", "own") for n in range(200)]
     before = [choose(make_table(), request).runner.name for request in parts]
     table = make_table()
@@ -75,7 +75,7 @@
     assert set(moved) == {"i-3"}
 
 
-def test_plain_calls_even_out_over_runners():
+def test_plain_calls_are_balanced_over_runners():
     """A burst of short calls meets runners with few slots. Sent unevenly, some are
     rejected while other runners have room."""
     table = make_table(count=3, slots=6)
@@ -87,11 +87,11 @@
     assert sorted(counts.values()) == [5, 5, 5]
 
 
-def test_a_slow_runner_gets_less():
+def test_slow_runner_gets_fewer_requests():
     """One of three runners answers eight times slower; its callers would wait."""
     table = make_table(count=3)
     for number in range(3):
-        view = get_view(table, f"i-{number}")
+        view = find_view(table, f"i-{number}")
         for _ in range(5):
             table.note_answer(view, 0.8 if number == 0 else 0.1, 0.0)
     counts = collections.Counter()
@@ -102,7 +102,7 @@
     assert counts["i-0"] <= 2
 
 
-def test_a_runner_that_rejected_rests_for_a_moment():
+def test_runner_backs_off_after_a_rejection():
     table = make_table(count=2)
     view = choose(table, make_request("a", "b"))
     table.note_full(view, 0.0)
@@ -110,11 +110,11 @@
     assert choose(table, make_request("a", "b"), now=1.0) is view
 
 
-def test_a_runner_that_spoils_a_few_answers_keeps_its_work():
+def test_runner_with_few_failures_is_not_ejected():
     """Three in a hundred answers break off. Ejecting the runner would cost the others
     more than the retries do."""
     table = make_table(count=3)
-    view = get_view(table, "i-0")
+    view = find_view(table, "i-0")
     ejected = [
         table.note_failure(view, n, certain=False)
         if n % 33 == 0
@@ -124,10 +124,10 @@
     assert not any(ejected)
 
 
-def test_a_runner_that_fails_half_of_its_answers_is_ejected():
+def test_runner_that_fails_most_answers_is_ejected():
     """A faulty runner answers errors at once, looks empty, and draws all work."""
     table = make_table(count=3)
-    view = get_view(table, "i-0")
+    view = find_view(table, "i-0")
     rng = random.Random(3)
     for n in range(60):
         if rng.random() < 0.7:
@@ -137,19 +137,19 @@
     assert not table.is_rested(view, 0.6)
 
 
-def test_when_all_runners_rest_one_is_still_used():
+def test_an_ejected_runner_is_used_when_all_are_ejected():
     """Everything failed a moment ago. Refusing all callers would turn one bad moment
     into an outage."""
     table = make_table(count=2)
     for name in ("i-0", "i-1"):
-        table.note_failure(get_view(table, name), 0.0, certain=True)
+        table.note_failure(find_view(table, name), 0.0, certain=True)
     assert choose(table, make_request(), now=0.1) is not None
 
 
-def test_a_data_centre_that_is_silent_gets_no_work_for_a_moment():
+def test_unreachable_data_centre_is_avoided_for_a_while():
     """A data centre is cut off. Each of its runners would cost a caller a time-out."""
     table = make_table(count=6)
-    view = get_view(table, "i-1")
+    view = find_view(table, "i-1")
     assert table.note_silence(view, 10.0)
     chosen = {
         choose(table, make_request("a", f"f-{n}", "x"), now=10.5).runner.data_centre
@@ -163,23 +163,23 @@
     assert later == {"dc-0", "dc-1", "dc-2"}
 
 
-def test_a_cut_that_goes_on_is_told_once():
+def test_lasting_partition_is_reported_once():
     """Each of many requests that wait on a data centre behind a cut ends with silence,
     a hundred of them within seconds. Whoever reads the log needs the beginning of the
     cut, not each of them."""
     table = make_table(count=6)
-    view = get_view(table, "i-1")
-    told = [table.note_silence(view, 10.0 + step / 10) for step in range(20)]
-    assert told == [True] + 19 * [False]
+    view = find_view(table, "i-1")
+    reported = [table.note_silence(view, 10.0 + step / 10) for step in range(20)]
+    assert reported == [True] + 19 * [False]
 
 
-def test_one_dark_runner_does_not_cost_its_data_centre_the_work():
+def test_one_unreachable_runner_does_not_stop_its_data_centre():
     table = make_table(count=6)
-    table.note_answer(get_view(table, "i-4"), 0.1, 9.8)
-    assert not table.note_silence(get_view(table, "i-1"), 10.0)
+    table.note_answer(find_view(table, "i-4"), 0.1, 9.8)
+    assert not table.note_silence(find_view(table, "i-1"), 10.0)
 
 
-def test_runners_whose_entries_lapsed_are_used_until_they_should_be_back():
+def test_unlisted_runners_are_used_during_the_grace_period():
     """The store was away, and the entries of healthy runners lapsed with it. Taking
     that for their end would refuse all callers."""
     table = make_table(count=3)
@@ -189,26 +189,26 @@
     assert len(table.prune(102.5)) == 3
 
 
-def test_runners_in_doubt_come_after_those_that_are_listed():
+def test_listed_runners_are_preferred_to_unlisted_ones():
     table = make_table(count=3)
     table.remove_runner("i-0", 100.0)
     names = {choose(table, make_request(), 100.1).runner.name for _ in range(20)}
     assert "i-0" not in names
 
 
-def test_retries_stay_within_the_relays_part():
+def test_retries_stay_within_the_share_of_the_relay():
     """All runners fail. If each request were retried, the load would double on
     runners that fail because they have too much."""
     share = RetryShare(ratio=0.2, reserve=50.0, window=10.0)
-    taken = 0
+    allowed = 0
     for n in range(1000):
         share.note_fresh("e", n * 0.01)
-        taken += share.take("e", relays=5, now=n * 0.01)
-    assert taken <= 0.2 * 1000 + 50 / 5
-    assert taken >= 0.7 * (0.2 * 1000 + 50 / 5)
+        allowed += share.take("e", relays=5, now=n * 0.01)
+    assert allowed <= 0.2 * 1000 + 50 / 5
+    assert allowed >= 0.7 * (0.2 * 1000 + 50 / 5)
 
 
-def test_retries_come_back_with_time():
+def test_retry_budget_refills_over_time():
     share = RetryShare(ratio=0.0, reserve=10.0, window=10.0)
     assert sum(share.take("e", 1, 0.0) for _ in range(20)) == 8
     assert not share.take("e", 1, 9.0)
