--- a/knapweedrail/tests/test_relay_limits.py
+++ b/knapweedrail/tests/test_relay_limits.py
@@ -1,4 +1,4 @@
-"""Runners that limit their requests get no more than that from all relays together."""
+"""Runners that limit their request rate across all relays."""
 
 import contextlib
 import random
@@ -23,15 +23,16 @@
 pytestmark = pytest.mark.anyio
 
 WINDOW_SECONDS = 4.0
-TOLD_SECONDS = 0.5
-"""Time after a relay's first answer with a limit from which on its requests count."""
+PROPAGATION_SECONDS = 0.5
+"""Time after the first answer with a limit from which requests are counted, as the
+other relays have to learn of it."""
 
 HOSTS = ("a", "b", "c")
 SAFE = make_route(Repetition.SAFE)
 
 
 def count_worst(arrivals):
-    """Return the most requests that arrived in any window."""
+    """Return the highest number of requests in any window."""
     counts = [
         sum(at <= other < at + WINDOW_SECONDS for other in arrivals) for at in arrivals
     ]
@@ -39,7 +40,7 @@
 
 
 class LimitedRunner:
-    """Answers well, and names a limit of requests a second."""
+    """Answers well, and states a limit in requests per second."""
 
     def __init__(self, rate, header):
         self.rate = rate
@@ -54,8 +55,9 @@
 
 
 @pytest.mark.parametrize("header", ["Server_Limit", "Knapweedrail_Server_Limit"])
-async def test_three_relays_keep_the_limit_that_a_runner_names(header):
-    """Guards against relays that send a runner in need what it can't take."""
+async def test_three_relays_together_keep_the_limit_of_a_runner(header):
+    """Guards against relays that together send an overloaded runner more requests than
+    it accepts."""
     limited = LimitedRunner(1.5, header)
     runners = ScriptedRunner(limited.respond), ScriptedRunner(answer_well)
     async with contextlib.AsyncExitStack() as stack:
@@ -70,19 +72,19 @@
             answers.append(await relays[number % 3].call())
             await anyio.sleep(0.05)
     assert all(answer.status == 200 for answer in answers)
-    told = limited.arrivals[0] + TOLD_SECONDS
-    counted = [at for at in limited.arrivals if at >= told]
+    propagated_at = limited.arrivals[0] + PROPAGATION_SECONDS
+    counted = [at for at in limited.arrivals if at >= propagated_at]
     assert count_worst(counted) <= allow(1.5)
 
 
 SIZES = [(6, 60), (9, 60), (88, 340), (195, 380), (500, 900)]
-"""Hosts, and requests a second of all callers."""
+"""Number of hosts, and requests per second of all callers."""
 
 RATES = [1.5, 20.0]
 
 
-def play(hosts, per_second, rate, seed, scenario, runners=8, heeds=None):
-    """Play a scenario while a runner names a limit; return the fleet."""
+def simulate(hosts, per_second, rate, seed, scenario, runners=8, heeds=None):
+    """Run a scenario while a runner states a limit; return the fleet."""
     fleet = LimitFleet(hosts, runners, seed, heeds or (lambda host: True))
     fleet.send_for(3.0, per_second, None)
     fleet.limit("i-0", rate)
@@ -90,19 +92,20 @@
     return fleet
 
 
-def go_on(fleet, per_second):
+def run_steadily(fleet, per_second):
     fleet.send_for(14.0, per_second, None)
 
 
-def send_unevenly(fleet, per_second):
-    """Callers of a few hosts send nearly all, then ten times as much for a while."""
+def send_bursts_unevenly(fleet, per_second):
+    """Callers of a few hosts send nearly all requests, then all send ten times as
+    many."""
     for _ in range(3):
         fleet.send_for(3.0, per_second, lambda host: 20.0 if host[-1] == "1" else 1.0)
         fleet.send_for(1.0, 10 * per_second, None)
 
 
-def cut_off(fleet, per_second):
-    """Half of the hosts can't reach the others as the limit is first named."""
+def partition(fleet, per_second):
+    """Half of the hosts can't reach the others when the limit is first stated."""
     fleet.part({host for host in fleet.relays if int(host[2:]) % 2})
     fleet.send_for(8.0, per_second, None)
     fleet.part(set())
@@ -110,7 +113,7 @@
 
 
 def freeze(fleet, per_second):
-    """A third of the hosts stand still, and go on all at once."""
+    """A third of the hosts freeze, and resume all at once."""
     for _ in range(3):
         for host in list(fleet.relays)[::3]:
             fleet.freeze(host, 3.0)
@@ -118,7 +121,7 @@
 
 
 def restart(fleet, per_second):
-    """Hosts start anew in series, then all at once, and some leave for good."""
+    """Hosts restart one after another, then all at once, and some leave for good."""
     for host in list(fleet.relays)[::5]:
         fleet.start(host)
         fleet.send_for(0.3, per_second, None)
@@ -130,34 +133,34 @@
     fleet.send_for(10.0, per_second, None)
 
 
-SCENARIOS = [go_on, send_unevenly, cut_off, freeze, restart]
+SCENARIOS = [run_steadily, send_bursts_unevenly, partition, freeze, restart]
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS)
 @pytest.mark.parametrize(("hosts", "per_second"), SIZES)
-def test_a_limit_holds_for_all_relays_together(hosts, per_second, scenario):
-    """Guards against a sum of many relays' requests that is above a runner's limit."""
+def test_limit_holds_for_all_relays_together(hosts, per_second, scenario):
+    """Guards against a total request rate of many relays above a runner's limit."""
     for rate in RATES:
-        fleet = play(hosts, per_second, rate, hosts, scenario)
+        fleet = simulate(hosts, per_second, rate, hosts, scenario)
         assert fleet.count_worst("i-0") <= allow(rate)
 
 
 @pytest.mark.parametrize(("hosts", "per_second"), SIZES)
-def test_a_relay_that_ignores_limits_is_found(hosts, per_second):
-    """Guards against a check that no fault would fail."""
+def test_relay_that_ignores_limits_is_detected(hosts, per_second):
+    """Guards against a check that would pass with any fault."""
 
     def send_to_one(fleet, per_second):
         fleet.send_for(15.0, per_second, lambda host: hosts if host == "h-0" else 1.0)
 
-    fleet = play(
+    fleet = simulate(
         hosts, per_second, 1.5, 1, send_to_one, heeds=lambda host: host != "h-0"
     )
     assert fleet.count_worst("i-0") > allow(1.5)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_limit_that_is_lowered_holds_and_one_that_is_over_is_forgotten(seed):
-    """Guards against relays that go by a limit which the runner names no more."""
+def test_lowered_limit_holds_and_lifted_limit_is_dropped(seed):
+    """Guards against relays that keep to a limit that the runner no longer states."""
     fleet = LimitFleet(9, 4, seed)
     fleet.limit("i-0", 6.0)
     fleet.send_for(8.0, 60, None)
@@ -173,9 +176,9 @@
     assert fleet.runners["i-0"].served - before >= 0.15 * 5 * 60
 
 
-def test_what_limited_runners_take_is_used_and_the_rest_refused_at_once():
-    """All runners of an endpoint are limited at once: callers are refused without a
-    wait, and each runner gets a good part of what it takes."""
+def test_limited_runners_are_used_fully_and_the_rest_is_refused():
+    """All runners of an endpoint are limited. Callers above the limits are refused at
+    once, and each runner still gets a large part of what it accepts."""
     fleet = LimitFleet(9, 4, seed=1)
     for name in fleet.runners:
         fleet.limit(name, 3.0)
@@ -188,11 +191,11 @@
     assert fleet.refused > 0
 
 
-async def test_relays_tell_each_other_of_limits():
-    """Guards against a change of a limit that the others hear of by chance."""
-    heard = []
+async def test_relays_send_each_other_limits():
+    """Guards against changes of a limit that reach other relays only by chance."""
+    received = []
     server = make_server(
-        None, lambda lines: None, None, "127.0.0.1:0", hear_limits=heard.extend
+        None, lambda lines: None, None, "127.0.0.1:0", hear_limits=received.extend
     )
     await server.start()
     neighbours = Neighbours()
@@ -201,11 +204,11 @@
     await neighbours.tell_limits([member], news)
     await neighbours.close()
     await server.close()
-    assert heard == news
+    assert received == news
 
 
-async def test_only_a_good_answer_of_the_runner_ends_its_limit():
-    """Guards against a limit that is forgotten while the runner is in need."""
+async def test_only_a_successful_answer_lifts_a_limit():
+    """Guards against dropping a limit while the runner is still overloaded."""
     answers = [
         ("200", "2.0"),
         ("503", None),
@@ -226,14 +229,14 @@
         runner = ScriptedRunner(respond)
         async with run_relay(make_configuration(SAFE), runner) as relay:
             view = relay.table.list_views("e", 0.0)[0]
-            view.limited.note_named(2.0, time.monotonic() - 60, random.Random(1))
+            view.limit_record.note_named(2.0, time.monotonic() - 60, random.Random(1))
             await relay.call()
-            limits.append(view.limited.limit is not None)
+            limits.append(view.limit_record.limit is not None)
     assert limits == [True, True, True, True, False]
 
 
-def test_an_answer_that_was_overtaken_ends_no_limit():
-    """Guards against a limit forgotten for an answer that is older than it."""
+def test_overtaken_answer_does_not_lift_a_limit():
+    """Guards against dropping a limit because of an answer that is older than it."""
     record, rng = LimitRecord(), random.Random(1)
     record.note_named(2.0, 10.0, rng, sent_at=9.0)
     assert not record.note_named(None, 10.2, rng, sent_at=9.5)
@@ -242,12 +245,12 @@
     assert record.limit is None
 
 
-async def test_callers_are_refused_at_once_when_every_runner_waits_for_its_turn():
-    """Guards against callers that wait until their deadline for a limited runner."""
+async def test_callers_are_refused_at_once_when_every_runner_is_limited():
+    """Guards against callers that wait for a limited runner until their deadline."""
     runner = ScriptedRunner(answer_well)
     async with run_relay(make_configuration(SAFE), runner) as relay:
         view = relay.table.list_views("e", 0.0)[0]
-        view.limited.note_named(0.5, time.monotonic(), random.Random(1))
+        view.limit_record.note_named(0.5, time.monotonic(), random.Random(1))
         began_at = time.monotonic()
         answer = await relay.call()
         assert time.monotonic() - began_at < 0.2
