--- a/knapweedrail/platform/clients.py
+++ b/knapweedrail/platform/clients.py
@@ -25,7 +25,7 @@
 """How long a connection is kept unused."""
 
 
-def limit_steps(seconds: float) -> httpx.Timeout:
+def make_timeout(seconds: float) -> httpx.Timeout:
     """Return limits for the steps of a call that is answered within so long."""
     return httpx.Timeout(seconds, connect=CONNECT_SECONDS)
 
@@ -51,7 +51,7 @@
                 # authorities would make each start longer.
                 verify=False,
             ),
-            timeout=limit_steps(ANSWER_SECONDS),
+            timeout=make_timeout(ANSWER_SECONDS),
             trust_env=False,
         )
 
--- a/knapweedrail/platform/values.py
+++ b/knapweedrail/platform/converters.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-def take_text(value: Any, _: object = None) -> str:
+def require_string(value: Any, _: object = None) -> str:
     """Return a text.
 
     Raises:
@@ -16,7 +16,7 @@
     return value
 
 
-def take_number(value: Any, _: object = None) -> float:
+def require_number(value: Any, _: object = None) -> float:
     """Return a number; truth values are none, though the language counts them in.
 
     Raises:
@@ -27,7 +27,7 @@
     return value
 
 
-def take_whole(value: Any, _: object = None) -> int:
+def require_integer(value: Any, _: object = None) -> int:
     """Return a whole number, also one that is written with a point.
 
     JSON has one type of number, and some writers write all of them alike.
@@ -35,7 +35,7 @@
     Raises:
         TypeError: If it is none.
     """
-    number = take_number(value)
+    number = require_number(value)
     if isinstance(number, float) and not number.is_integer():
         raise TypeError(f"{value!r:.50} isn't a whole number")
     return int(number)
--- a/knapweedrail/platform/decoding.py
+++ b/knapweedrail/platform/decoding.py
@@ -17,8 +17,8 @@
     RunnerState,
     Share,
 )
-from .entries import DRAINING, READY, structure_entry
-from .starts import decode_start
+from .entries import DRAINING, READY, parse_entry
+from .start_times import decode_start_time
 
 _REPETITIONS = {
     "safe": Repetition.SAFE,
@@ -72,8 +72,8 @@
         DecodingError: If a part is missing or has another type, or it names no state.
     """
     try:
-        entry = structure_entry(name, spec)
-        started = decode_start(spec, read_clock())
+        entry = parse_entry(name, spec)
+        started = decode_start_time(spec, read_clock())
     except (TypeError, ValueError) as error:
         raise DecodingError(str(error)) from error
     return Runner(
--- a/knapweedrail/platform/entries.py
+++ b/knapweedrail/platform/entries.py
@@ -12,24 +12,24 @@
 import attrs
 
 from ..addresses import check_address
-from .values import take_number, take_text, take_whole
+from .converters import require_integer, require_number, require_string
 
 READY = "ready"
 DRAINING = "draining"
 
-MOST_SLOTS = 65_536
+MAX_SLOTS = 65_536
 """Slots beyond which an entry isn't a runner's, which has some hundreds. Load is
 weighed by slots, so that a runner with millions would get every request."""
 
-TEXT_CHARACTERS = 253
+MAX_TEXT_LENGTH = 253
 """Longest name of anything, as of a host."""
 
-_NAME = re.compile(r"[\w.:/+=~@-]{1,%d}" % TEXT_CHARACTERS, re.ASCII)
+_NAME = re.compile(r"[\w.:/+=~@-]{1,%d}" % MAX_TEXT_LENGTH, re.ASCII)
 """Names go into headers, and into what relays tell each other, parted by commas."""
 
 
 def _check_text(entry: Any, field: attrs.Attribute, value: str) -> None:
-    if not (0 < len(value) <= TEXT_CHARACTERS and value.isprintable()):
+    if not (0 < len(value) <= MAX_TEXT_LENGTH and value.isprintable()):
         raise ValueError(f"{field.name} is {value!r:.50}")
 
 
@@ -40,7 +40,7 @@
 
 
 def _check_slots(entry: Any, field: attrs.Attribute, value: int) -> None:
-    if not 1 <= value <= MOST_SLOTS:
+    if not 1 <= value <= MAX_SLOTS:
         raise ValueError(f"{value!r:.50} slots")
 
 
@@ -53,14 +53,14 @@
 class RunnerEntry:
     """An entry as a runner writes it; what has a default here isn't used."""
 
-    service: str = attrs.field(converter=take_text, validator=_check_text)
-    address: str = attrs.field(converter=take_text, validator=_check_address)
-    zone: str = attrs.field(converter=take_text, validator=_check_text)
-    slots: int = attrs.field(converter=take_whole, validator=_check_slots)
-    state: str = attrs.field(converter=take_text, validator=_check_state)
-    version: str = attrs.field(converter=take_text, default="")
-    seq: int = attrs.field(converter=take_whole, default=0)
-    cold_left: float = attrs.field(converter=take_number, default=0.0)
+    service: str = attrs.field(converter=require_string, validator=_check_text)
+    address: str = attrs.field(converter=require_string, validator=_check_address)
+    zone: str = attrs.field(converter=require_string, validator=_check_text)
+    slots: int = attrs.field(converter=require_integer, validator=_check_slots)
+    state: str = attrs.field(converter=require_string, validator=_check_state)
+    version: str = attrs.field(converter=require_string, default="")
+    seq: int = attrs.field(converter=require_integer, default=0)
+    cold_left: float = attrs.field(converter=require_number, default=0.0)
 
 
 _FIELDS = {field.name: field.name for field in attrs.fields(RunnerEntry)}
@@ -68,7 +68,7 @@
 """Names on the wire by field."""
 
 
-def structure_entry(name: str, spec: Any) -> RunnerEntry:
+def parse_entry(name: str, spec: Any) -> RunnerEntry:
     """Return a runner's entry.
 
     The converter library that settings are read by would do the same. Its import takes
--- a/knapweedrail/platform/names.py
+++ b/knapweedrail/platform/names.py
@@ -11,7 +11,7 @@
 EXPECT_RUNNER = b"knapweedrail-expect-instance"
 LOAD = b"knapweedrail-server-load"
 LIMIT = b"knapweedrail-server-limit"
-BARE_LIMIT = b"server-limit"
+UNPREFIXED_LIMIT = b"server-limit"
 """The limit's name without the prefix that most of the platform's headers have."""
 
 NOT_RUN = b"knapweedrail-not-executed"
@@ -22,14 +22,14 @@
 PRIORITY = b"knapweedrail-request-priority"
 KEY = b"knapweedrail-key"
 
-OURS = frozenset(
+RESERVED_HEADERS = frozenset(
     {
         SEAL,
         ACCOUNT,
         EXPECT_RUNNER,
         LOAD,
         LIMIT,
-        BARE_LIMIT,
+        UNPREFIXED_LIMIT,
         NOT_RUN,
         RUNNER_ID,
         PRIORITY,
@@ -46,7 +46,7 @@
 """Headers that only the system or a runner may set: a caller that sends one could
 pass for another account, or go on from the memory of another caller's run."""
 
-CONNECTION_ONLY = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -64,13 +64,13 @@
 )
 """Headers that concern one connection; each side of the relay has its own."""
 
-READ_ANSWERS = frozenset(
+KNOWN_ANSWER_HEADERS = frozenset(
     {
         REQUEST_ID,
         SEAL,
         LOAD,
         LIMIT,
-        BARE_LIMIT,
+        UNPREFIXED_LIMIT,
         NOT_RUN,
         RUNNER_ID,
         RETRY_AFTER,
--- a/knapweedrail/platform/pages.py
+++ b/knapweedrail/platform/pages.py
@@ -17,8 +17,8 @@
 
 from ..relay.stores import Unreadable
 
-_LISTS = frozenset({"entries", "events"})
-_OBJECTS = frozenset({"", "object"})
+_SPLIT_LISTS = frozenset({"entries", "events"})
+_SPLIT_OBJECTS = frozenset({"", "object"})
 """Keys of what is taken apart; the items of a list, and the whole, have none. Other
 values are read whole or not at all: half an object could pass for a sound one."""
 
@@ -32,20 +32,20 @@
     with contextlib.suppress(ValueError):
         return orjson.loads(content)
     with contextlib.suppress(ValueError, RecursionError):
-        return _hide(json.loads(content), "")
-    return _take_apart(content)
+        return _mask_unreadable(json.loads(content), "")
+    return _parse_tolerantly(content)
 
 
-def _hide(value: Any, key: str) -> Any:
+def _mask_unreadable(value: Any, key: str) -> Any:
     """Return a page without the objects that hold a number which is none."""
-    if isinstance(value, list) and key in _LISTS:
-        return [_hide(item, "") for item in value]
-    if isinstance(value, dict) and key in _OBJECTS:
-        return {name: _hide(item, name) for name, item in value.items()}
-    return value if _is_sound(value) else Unreadable()
+    if isinstance(value, list) and key in _SPLIT_LISTS:
+        return [_mask_unreadable(item, "") for item in value]
+    if isinstance(value, dict) and key in _SPLIT_OBJECTS:
+        return {name: _mask_unreadable(item, name) for name, item in value.items()}
+    return value if _is_valid_json(value) else Unreadable()
 
 
-def _is_sound(value: Any) -> bool:
+def _is_valid_json(value: Any) -> bool:
     try:
         # NaN, the infinities and lone surrogates are no JSON; the standard library
         # reads them all the same.
@@ -56,7 +56,7 @@
     return True
 
 
-def _take_apart(content: bytes) -> Any:
+def _parse_tolerantly(content: bytes) -> Any:
     """Parse a page by its syntax tree, which bears any depth and single errors.
 
     Raises:
@@ -68,21 +68,21 @@
 
     language = tree_sitter.Language(tree_sitter_json.language())
     root = tree_sitter.Parser(language).parse(content).root_node
-    return _read(_list_sound(root)[0], "")
+    return _convert_node(_list_children(root)[0], "")
 
 
-def _read(node: Any, key: str) -> Any:
+def _convert_node(node: Any, key: str) -> Any:
     try:
         return orjson.loads(node.text)
     except ValueError:
-        if node.type == "array" and key in _LISTS:
-            return [_read(item, "") for item in _list_sound(node)]
-        if node.type == "object" and key in _OBJECTS:
-            return dict(_read_member(pair) for pair in _list_sound(node))
+        if node.type == "array" and key in _SPLIT_LISTS:
+            return [_convert_node(item, "") for item in _list_children(node)]
+        if node.type == "object" and key in _SPLIT_OBJECTS:
+            return dict(_convert_member(pair) for pair in _list_children(node))
         return Unreadable()
 
 
-def _list_sound(node: Any) -> list[Any]:
+def _list_children(node: Any) -> list[Any]:
     """Return the parts of a value, none of which is a place that can't be parsed."""
     if not node.named_children:
         raise ValueError("nothing there")
@@ -91,7 +91,7 @@
     return list(node.named_children)
 
 
-def _read_member(pair: Any) -> tuple[str, Any]:
+def _convert_member(pair: Any) -> tuple[str, Any]:
     key, value = pair.named_children
     name = str(orjson.loads(key.text))
-    return name, _read(value, name)
+    return name, _convert_node(value, name)
--- a/knapweedrail/platform/relays.py
+++ b/knapweedrail/platform/relays.py
@@ -5,10 +5,10 @@
 import socket
 from collections.abc import Callable
 
-from ..relay.daemons import DOUBT_SECONDS, Relay
+from ..relay.daemons import VANISHED_GRACE_SECONDS, Relay
 from ..relay.followers import ConfigurationFollower, RunnerFollower
 from ..relay.malformed import MalformedObjects
-from ..relay.measures import CountedStore, RelayMeasures
+from ..relay.measures import InstrumentedStore, RelayMeasures
 from ..relay.members import MEMBER_KIND
 from ..relay.options import RelaySettings
 from ..relay.reach import StoreReach
@@ -23,7 +23,7 @@
 def make_relay(
     settings: RelaySettings,
     listener: socket.socket,
-    count_left_out: Callable[[], int],
+    count_dropped: Callable[[], int],
 ) -> Relay:
     """Return a relay that isn't started yet.
 
@@ -33,7 +33,7 @@
     """
     measures = RelayMeasures()
     malformed = MalformedObjects(measures.count_malformed)
-    store = CountedStore(PlatformStore(settings.store_address), measures)
+    store = InstrumentedStore(PlatformStore(settings.store_address), measures)
     configuration, runners = make_followers(settings, store, malformed)
     return Relay(
         settings,
@@ -44,7 +44,7 @@
         PlatformCodec(),
         measures,
         malformed,
-        count_left_out,
+        count_dropped,
     )
 
 
@@ -69,7 +69,7 @@
         names.RUNNERS_KIND,
         settings.runner_watch_seconds,
         decode_runner,
-        RunnerTable(DOUBT_SECONDS),
+        RunnerTable(VANISHED_GRACE_SECONDS),
         settings.runner_batch_seconds,
         malformed,
         reach,
--- a/knapweedrail/platform/requests.py
+++ b/knapweedrail/platform/requests.py
@@ -19,10 +19,10 @@
     RunnerReport,
 )
 from . import names
-from .starts import decode_start
-from .values import take_whole
+from .converters import require_integer
+from .start_times import decode_start_time
 
-MAX_PARTS = 64
+MAX_PROMPT_PARTS = 64
 """Parts of a prompt that are read; the rest can't matter to where it is sent."""
 
 
@@ -44,25 +44,29 @@
         headers: list[tuple[bytes, bytes]],
     ) -> CallerRequest | Malformed:
         single: dict[bytes, bytes] = {}
-        passed = []
-        dropped = names.OURS | names.CONNECTION_ONLY | _list_connection_headers(headers)
+        forwarded = []
+        dropped = (
+            names.RESERVED_HEADERS
+            | names.HOP_BY_HOP_HEADERS
+            | _list_connection_headers(headers)
+        )
         for name, value in headers:
             lower = name.lower()
-            if lower in _SINGLE:
+            if lower in _SINGLE_VALUED:
                 if lower in single and single[lower] != value:
                     return Malformed(f"two values of {lower.decode()}")
                 if lower in single:
                     continue
                 single[lower] = value
             if lower not in dropped and lower not in _REPLACED:
-                passed.append((name, value))
+                forwarded.append((name, value))
         if b"content-length" in single and b"transfer-encoding" in single:
             return Malformed("both a length and a transfer coding")
         host = single.get(b"host", b"").decode("latin-1").rpartition("@")[2].lower()
         host = host if host.startswith("[") else host.partition(":")[0]
-        deadline = _read_number(single.get(names.DEADLINE))
-        prompt, output = _read_pair(single.get(names.TOKENS))
-        last_event = _read_number(single.get(names.LAST_EVENT))
+        deadline = _parse_number(single.get(names.DEADLINE))
+        prompt, output = _parse_token_usage(single.get(names.TOKENS))
+        last_event = _parse_number(single.get(names.LAST_EVENT))
         key = single.get(names.KEY)
         target = raw_path + (b"?" + query if query else b"")
         return CallerRequest(
@@ -71,12 +75,12 @@
             target=target,
             host=host,
             path=raw_path.decode("latin-1"),
-            headers=tuple(passed),
+            headers=tuple(forwarded),
             key=None if key is None else key.decode("latin-1").strip(),
             deadline=None if deadline is None else deadline / 1000,
             prompt_tokens=prompt,
             most_output=output,
-            parts=_read_parts(single.get(names.PROMPT_PREFIX)),
+            parts=_parse_prompt_parts(single.get(names.PROMPT_PREFIX)),
             last_event=None if last_event is None else int(last_event),
         )
 
@@ -110,9 +114,9 @@
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> RunnerAnswer:
         found = {name.lower(): value for name, value in headers}
-        dropped = names.CONNECTION_ONLY | _list_connection_headers(headers)
-        unread = found.keys() - dropped - names.READ_ANSWERS
-        running, waiting, slots = _read_load(found.get(names.LOAD))
+        dropped = names.HOP_BY_HOP_HEADERS | _list_connection_headers(headers)
+        unread = found.keys() - dropped - names.KNOWN_ANSWER_HEADERS
+        running, waiting, slots = _parse_load(found.get(names.LOAD))
         identity = found.get(names.REQUEST_ID)
         runner = found.get(names.RUNNER_ID)
         return RunnerAnswer(
@@ -127,9 +131,11 @@
                 b"text/event-stream"
             ),
             headers=tuple(item for item in headers if item[0].lower() not in dropped),
-            idle_seconds=_read_keep_alive(found.get(b"keep-alive")),
+            idle_seconds=_parse_keep_alive(found.get(b"keep-alive")),
             runner=None if runner is None else runner.decode("latin-1"),
-            limit=_read_limit(found.get(names.LIMIT, found.get(names.BARE_LIMIT))),
+            limit=_parse_limit(
+                found.get(names.LIMIT, found.get(names.UNPREFIXED_LIMIT))
+            ),
             unread=tuple(sorted(name.decode("latin-1") for name in unread)),
         )
 
@@ -144,8 +150,8 @@
             return None
         try:
             report = orjson.loads(body)
-            started = decode_start(report, self._read_clock())
-            return RunnerReport(take_whole(report[names.REPORT_MEMORY]), started)
+            started = decode_start_time(report, self._read_clock())
+            return RunnerReport(require_integer(report[names.REPORT_MEMORY]), started)
         except (KeyError, TypeError, ValueError):
             # Another kind of runner answers this path in its own way.
             return None
@@ -161,7 +167,7 @@
         return headers
 
 
-_SINGLE = frozenset(
+_SINGLE_VALUED = frozenset(
     {
         b"host",
         b"content-length",
@@ -195,7 +201,7 @@
     return frozenset(listed - kept - {b"host", names.LAST_EVENT, b"content-type"})
 
 
-def _read_number(value: bytes | None) -> float | None:
+def _parse_number(value: bytes | None) -> float | None:
     if value is None:
         return None
     try:
@@ -205,23 +211,23 @@
     return number if math.isfinite(number) and number >= 0 else None
 
 
-def _read_pair(value: bytes | None) -> tuple[int, int]:
+def _parse_token_usage(value: bytes | None) -> tuple[int, int]:
     first, _, second = (value or b"").partition(b",")
     if not (first.strip().isdigit() and second.strip().isdigit()):
         return 0, 0
     return int(first), int(second)
 
 
-def _read_parts(value: bytes | None) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(value: bytes | None) -> tuple[PromptPart, ...]:
     parts = []
-    for entry in (value or b"").split(b",")[:MAX_PARTS]:
+    for entry in (value or b"").split(b",")[:MAX_PROMPT_PARTS]:
         name, _, tokens = entry.strip().partition(b":")
         if name and tokens.isdigit():
             parts.append(PromptPart(name.decode("latin-1"), int(tokens)))
     return tuple(parts)
 
 
-def _read_load(value: bytes | None) -> tuple[int | None, int | None, int | None]:
+def _parse_load(value: bytes | None) -> tuple[int | None, int | None, int | None]:
     numbers = (value or b"").split(b",")
     if len(numbers) != 3 or not all(text.strip().isdigit() for text in numbers):
         return None, None, None
@@ -229,11 +235,11 @@
     return running, waiting, slots
 
 
-def _read_limit(value: bytes | None) -> float | None:
+def _parse_limit(value: bytes | None) -> float | None:
     return None if value is None else read_rate(value.decode("latin-1"))
 
 
-def _read_keep_alive(value: bytes | None) -> float | None:
+def _parse_keep_alive(value: bytes | None) -> float | None:
     for part in (value or b"").split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.lower() == b"timeout" and number.isdigit():
--- a/knapweedrail/platform/starts.py
+++ b/knapweedrail/platform/start_times.py
@@ -6,18 +6,18 @@
 
 from ..relay.models import UNKNOWN_START
 from . import names
-from .values import take_whole
+from .converters import require_integer
 
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 
-CLOCKS_SECONDS = 30.0
+MAX_SKEW_SECONDS = 30.0
 """How far ahead of this host's clock a start may be. Clocks are close to each other and
 jump by seconds; several times that, so that a host whose own clock is off doesn't take
 every runner for a foreign entry and serve nobody. A start that is further ahead was
 written by something else, and no true life of that runner would be newer."""
 
 
-def decode_start(spec: dict[str, Any], now: float) -> int:
+def decode_start_time(spec: dict[str, Any], now: float) -> int:
     """Return the start of a runner's life, Unix milliseconds.
 
     Clusters whose runners don't tell it are served as well: such a life counts as
@@ -33,7 +33,7 @@
     """
     if names.STARTED not in spec:
         return UNKNOWN_START
-    started = take_whole(spec[names.STARTED])
-    if not UNKNOWN_START < started <= (now + CLOCKS_SECONDS) * MILLISECONDS:
+    started = require_integer(spec[names.STARTED])
+    if not UNKNOWN_START < started <= (now + MAX_SKEW_SECONDS) * MS_PER_SECOND:
         raise ValueError(f"no runner started at {started!r:.50}")
     return started
--- a/knapweedrail/platform/store.py
+++ b/knapweedrail/platform/store.py
@@ -23,13 +23,13 @@
     WriteOutcome,
     Written,
 )
-from .clients import ANSWER_SECONDS, StoreClient, limit_steps
+from .clients import ANSWER_SECONDS, StoreClient, make_timeout
 from .pages import parse_page
 
 WATCH_GRACE_SECONDS = 0.3
 """How much later than its own end a waiting watch may be answered."""
 
-STALE = {"allowStale": "1"}
+ALLOW_STALE = {"allowStale": "1"}
 """Asks for data that may be seconds old, at a tenth of the price."""
 
 
@@ -50,25 +50,25 @@
 
     async def list_kind(self, kind: str, stale: bool = False) -> Listing | Unavailable:
         objects: list[StoredObject] = []
-        always = STALE if stale else {}
-        query: dict[str, str] = always
+        base_query = ALLOW_STALE if stale else {}
+        query: dict[str, str] = base_query
         revision: int | None = None
         while True:
             page = await self._read("list", f"/objects/{kind}", query, ANSWER_SECONDS)
             if not isinstance(page, dict):
-                return self._away("list", page)
+                return self._unavailable("list", page)
             try:
-                objects.extend(_decode_named(page["entries"]))
+                objects.extend(_decode_objects(page["entries"]))
                 if revision is None:
                     # Of the first page: what changed there since, no later one shows.
                     revision = int(page["asOf"])
                 if not page.get("morePages"):
                     return Listing(tuple(objects), revision)
                 if query.get("after") == objects[-1].name:
-                    return self._away("list", "a page that names no object")
-                query = always | {"after": objects[-1].name}
+                    return self._unavailable("list", "a page that names no object")
+                query = base_query | {"after": objects[-1].name}
             except _DECODE_ERRORS as error:
-                return self._away("list", error)
+                return self._unavailable("list", error)
 
     async def watch_kind(
         self, kind: str, revision: int, seconds: float
@@ -79,24 +79,24 @@
         if page == httpx.codes.GONE:
             return HistoryGone()
         if not isinstance(page, dict):
-            return self._away("watch", page)
+            return self._unavailable("watch", page)
         try:
             changes = tuple(_decode_changes(page["events"]))
             return Changes(changes, int(page["asOf"]))
         except _DECODE_ERRORS as error:
-            return self._away("watch", error)
+            return self._unavailable("watch", error)
 
     async def peek(self, kind: str, name: str) -> StoredObject | Missing | Unavailable:
         path = f"/objects/{kind}/{name}"
-        found = await self._read("peek", path, STALE, ANSWER_SECONDS)
+        found = await self._read("peek", path, ALLOW_STALE, ANSWER_SECONDS)
         if found == httpx.codes.NOT_FOUND:
             return Missing()
         if not isinstance(found, dict):
-            return self._away("peek", found)
+            return self._unavailable("peek", found)
         try:
             return _decode_object(found)
         except _DECODE_ERRORS as error:
-            return self._away("peek", error)
+            return self._unavailable("peek", error)
 
     async def create(self, kind: str, name: str, spec: Any) -> WriteOutcome:
         body = {"metadata": {"name": name}, "spec": spec}
@@ -119,7 +119,7 @@
             return Missing()
         if answer.is_success:
             return Written(0)
-        return self._away("delete", answer.status_code)
+        return self._unavailable("delete", answer.status_code)
 
     async def _read(
         self,
@@ -137,7 +137,7 @@
         try:
             async with self._borrow_client() as client:
                 answer = await client.get(
-                    path, params=query, timeout=limit_steps(seconds)
+                    path, params=query, timeout=make_timeout(seconds)
                 )
             if answer.status_code != httpx.codes.OK:
                 return answer.status_code
@@ -157,7 +157,7 @@
                     headers={"content-type": "application/json"},
                 )
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
-            return self._away(step, error)
+            return self._unavailable(step, error)
         except httpx.HTTPError as error:
             return Unknown(f"store.{step}", self._address, repr(error))
         try:
@@ -175,7 +175,7 @@
             case 404:
                 return Missing()
             case 429 | 503:
-                return self._away(step, answer.status_code)
+                return self._unavailable(step, answer.status_code)
         return Unknown(f"store.{step}", self._address, str(answer.status_code))
 
     @contextlib.asynccontextmanager
@@ -195,7 +195,7 @@
                 await client.retire()
             raise
 
-    def _away(self, step: str, reason: object) -> Unavailable:
+    def _unavailable(self, step: str, reason: object) -> Unavailable:
         return Unavailable(f"store.{step}", self._address, repr(reason))
 
 
@@ -203,21 +203,21 @@
 """What an answer raises that isn't the store's; nothing is known of it then."""
 
 
-def _decode_named(items: list[dict[str, Any]]) -> Iterator[StoredObject]:
+def _decode_objects(items: list[dict[str, Any]]) -> Iterator[StoredObject]:
     """Yield the objects of a page; one without a name tells of nothing."""
     for item in items:
-        with _pass_over(item):
+        with _skip_malformed(item):
             yield _decode_object(item)
 
 
 def _decode_changes(items: list[dict[str, Any]]) -> Iterator[Change]:
     for item in items:
-        with _pass_over(item):
+        with _skip_malformed(item):
             yield Change(_decode_object(item["object"]), bool(item.get("removed")))
 
 
 @contextlib.contextmanager
-def _pass_over(item: Any) -> Iterator[None]:
+def _skip_malformed(item: Any) -> Iterator[None]:
     try:
         yield
     except _DECODE_ERRORS as error:
--- a/knapweedrail/relay/closings.py
+++ b/knapweedrail/relay/closings.py
@@ -14,7 +14,7 @@
 from .exchanges import Broken
 from .models import CallerRequest, Route
 from .refusals import refuse_stopping
-from .shutdowns import AnswerTimes, Shutdown
+from .shutdowns import AnswerDurations, Shutdown
 
 
 class Closing:
@@ -33,8 +33,8 @@
         self._rng = rng
         self._shutdown: Shutdown | None = None
         self._scopes: set[anyio.CancelScope] = set()
-        self.shut = False
-        self.answer_times = AnswerTimes()
+        self.closing_connections = False
+        self.answer_times = AnswerDurations()
 
     @property
     def begun(self) -> bool:
@@ -45,7 +45,7 @@
         """Take only what can be answered before the end, and end the rest then."""
         self._shutdown = shutdown
         for scope in self._scopes:
-            scope.deadline = shutdown.ends_at
+            scope.deadline = shutdown.answers_due_at
 
     def judge(
         self, request: CallerRequest, route: Route, now: float, ends_at: float
@@ -59,13 +59,13 @@
         if shutdown is None:
             return None
         slowest = self.answer_times.find_slowest(route.name, now)
-        left = shutdown.ends_at - now
-        if self.shut or not shutdown.takes(now, ends_at - now, slowest):
+        left = shutdown.answers_due_at - now
+        if self.closing_connections or not shutdown.admits(now, ends_at - now, slowest):
             return refuse_stopping(left, slowest, self._rng)
         log_event(
             Event.REQUEST_TAKEN_LATE,
             request=request.identity,
-            arrived_after=round(now - shutdown.asked_at, 3),
+            arrived_after=round(now - shutdown.requested_at, 3),
             left=round(left, 3),
             may_take=round(ends_at - now, 3),
             slowest=round(slowest, 3),
@@ -79,7 +79,7 @@
         What goes wrong without an end of its own: the server closes the connection of
         a request that has no answer yet, and its caller can't tell whether it has run.
         """
-        until = self._shutdown.ends_at if self._shutdown else float("inf")
+        until = self._shutdown.answers_due_at if self._shutdown else float("inf")
         with anyio.CancelScope(deadline=until) as scope:
             self._scopes.add(scope)
             try:
--- a/knapweedrail/relay/daemons.py
+++ b/knapweedrail/relay/daemons.py
@@ -23,7 +23,7 @@
 from .holdings import Holdings
 from .ledgers import name_holder
 from .malformed import MalformedObjects
-from .measures import CountedStore, RelayMeasures, limit_accounts
+from .measures import InstrumentedStore, RelayMeasures, read_per_account
 from .members import Membership
 from .models import Configuration, Member
 from .neighbours import Neighbours, make_server
@@ -37,7 +37,7 @@
 from .successors import Successors
 from .suspects import Suspects
 
-DOUBT_SECONDS = 1.9
+VANISHED_GRACE_SECONDS = 1.9
 """How long a runner whose entry vanished may still be used when no other is listed:
 entries that lapsed with the store are back within about two seconds."""
 
@@ -48,10 +48,10 @@
 PRUNE_SECONDS = 1.0
 """Pause between looks for idle connections and runners to forget."""
 
-TELL_SECONDS = 0.05
+SEND_DELAY_SECONDS = 0.05
 """Pause before a message about a crash; the requests of one crash end together."""
 
-MOST_TOLD_LIMITS = 4
+LIMIT_FANOUT = 4
 """Relays told of a runner's limit by each one that hears of it: some steps reach nearly
 all of hundreds. A relay that is missed hears it from the runner."""
 
@@ -64,13 +64,13 @@
 goes on sending when most hosts of a data centre are out, and a closed door then costs
 each caller an attempt."""
 
-STREAM_SECONDS = 3.0
+STREAM_RESERVE_SECONDS = 3.0
 """Kept of the time to stop for requests under way; an answer seldom takes longer."""
 
-OPEN_SHARE = 0.7
+MIN_ACCEPT_SHARE = 0.7
 """Part of a short time to stop for which callers find the door open all the same."""
 
-STEP_SECONDS = 0.1
+POLL_SECONDS = 0.1
 """Pause between looks whether requests still come."""
 
 FLUSH_SECONDS = 0.1
@@ -96,13 +96,13 @@
         self,
         settings: RelaySettings,
         listener: socket.socket,
-        store: CountedStore,
+        store: InstrumentedStore,
         configuration: ConfigurationFollower,
         runners: RunnerFollower,
         codec: Codec,
         measures: RelayMeasures,
         malformed: MalformedObjects,
-        count_left_out: Callable[[], int],
+        count_dropped: Callable[[], int],
     ) -> None:
         self._settings = settings
         self._store = store
@@ -134,10 +134,10 @@
         )
         self._peer_server = make_server(
             self._holdings,
-            self._hear_suspects,
+            self._receive_suspects,
             self._news.serve,
             settings.peer_address,
-            self._hear_limits,
+            self._receive_limits,
         )
         self._suspects = Suspects()
         self._pressure = Pressure()
@@ -168,7 +168,7 @@
             pressure=self._pressure,
             count_relays=lambda: self._membership.count,
             note_successor=self._successors.note,
-            tell_limit=self._tell_limit,
+            tell_limit=self._queue_limit,
         )
         self._gateway = Gateway(services, configuration, self._holdings)
         self._caller_server = HttpServer(
@@ -176,7 +176,7 @@
         )
         configuration.subscribe(self._set_limits)
         self._measures = measures
-        self._add_gauges(count_left_out)
+        self._add_gauges(count_dropped)
         self._metrics_server: HttpServer | None = None
         if settings.metrics_address:
             self._metrics_server = HttpServer(
@@ -214,11 +214,11 @@
         with anyio.move_on_after(FIRST_CONFIGURATION_SECONDS):
             await self._configuration.known.wait()
         await self._caller_server.start(group)
-        group.start_soon(self._store.log_calls)
+        group.start_soon(self._store.report_calls)
         group.start_soon(self._prune)
         group.start_soon(self._tell_waiting)
 
-    async def close(self, asked_at: float) -> None:
+    async def close(self, requested_at: float) -> None:
         """Stop in good order, within the time that the settings give.
 
         The balancer is told first, and what it still sends is served; then answers
@@ -227,17 +227,17 @@
         Args:
             asked_at: When the process was told to stop.
         """
-        shutdown = Shutdown(asked_at, self._settings.stop_seconds)
+        shutdown = Shutdown(requested_at, self._settings.stop_seconds)
         self._gateway.closing.begin(shutdown)
         log_event(
             Event.ROUTER_STOPPING,
             under_way=self._gateway.under_way,
-            noticed_after=round(time.monotonic() - asked_at, 4),
-            ends_after=round(shutdown.ends_at - asked_at, 4),
+            noticed_after=round(time.monotonic() - requested_at, 4),
+            ends_after=round(shutdown.answers_due_at - requested_at, 4),
         )
         await self._wait_until_quiet(shutdown)
-        self._gateway.closing.shut = True
-        left = shutdown.ends_at + FLUSH_SECONDS - time.monotonic()
+        self._gateway.closing.closing_connections = True
+        left = shutdown.answers_due_at + FLUSH_SECONDS - time.monotonic()
         await self._caller_server.close(max(FLUSH_SECONDS, left))
         await self._news.close()
         await self._membership.close()
@@ -248,17 +248,17 @@
             for server in (self._ready_server, self._metrics_server):
                 if server is not None:
                     group.start_soon(server.close, FLUSH_SECONDS)
-            with anyio.move_on_after(shutdown.released_at - time.monotonic()):
+            with anyio.move_on_after(shutdown.tokens_due_at - time.monotonic()):
                 await self._holdings.release()
                 await self._membership.leave()
         with anyio.move_on_after(FLUSH_SECONDS):
             await self._neighbours.close()
             await self._peer_server.close()
         self._measures.close()
-        self._store.log_begun()
+        self._store.log_call_counts()
         log_event(Event.ROUTER_STOPPED, left=self._gateway.under_way)
 
-    def _add_gauges(self, count_left_out: Callable[[], int]) -> None:
+    def _add_gauges(self, count_dropped: Callable[[], int]) -> None:
         add = self._measures.add_gauge
         add("ages_seconds", "Age of what is known", self._read_ages)
         add("runners", "Runners listed, by endpoint", self._count_runners)
@@ -266,7 +266,7 @@
         add(
             "lines_left_out",
             "Log lines left out",
-            lambda: {"all": float(count_left_out())},
+            lambda: {"all": float(count_dropped())},
         )
 
     def _read_ages(self) -> dict[str, float]:
@@ -289,17 +289,20 @@
     def _read_tokens(self) -> dict[str, float]:
         configuration = self._configuration.configuration
         accounts = (configuration.accounts if configuration else None) or {}
-        return limit_accounts(accounts, self._holdings.read_available)
+        return read_per_account(accounts, self._holdings.read_available)
 
     async def _wait_until_quiet(self, shutdown: Shutdown) -> None:
         """Keep the door open for what the balancer still sends."""
-        most = max(shutdown.seconds - STREAM_SECONDS, OPEN_SHARE * shutdown.seconds)
-        least = min(OUT_OF_ROTATION_SECONDS, most)
-        while time.monotonic() < shutdown.asked_at + most:
-            await anyio.sleep(STEP_SECONDS)
+        max_seconds = max(
+            shutdown.seconds - STREAM_RESERVE_SECONDS,
+            MIN_ACCEPT_SHARE * shutdown.seconds,
+        )
+        min_seconds = min(OUT_OF_ROTATION_SECONDS, max_seconds)
+        while time.monotonic() < shutdown.requested_at + max_seconds:
+            await anyio.sleep(POLL_SECONDS)
             now = time.monotonic()
             quiet = now - self._gateway.last_request_at > QUIET_SECONDS
-            if quiet and now > shutdown.asked_at + least:
+            if quiet and now > shutdown.requested_at + min_seconds:
                 return
 
     async def _prune(self) -> None:
@@ -322,7 +325,7 @@
         while True:
             if not (self._told or self._limits):
                 await self._told_more.wait()
-            await anyio.sleep(TELL_SECONDS)
+            await anyio.sleep(SEND_DELAY_SECONDS)
             lines, self._told = self._told, []
             limits, self._limits = list(self._limits.values()), {}
             members = self._membership.list_others()
@@ -330,23 +333,23 @@
                 await self._neighbours.tell_suspects(members, lines)
             if limits:
                 random.shuffle(members)
-                await self._neighbours.tell_limits(members[:MOST_TOLD_LIMITS], limits)
+                await self._neighbours.tell_limits(members[:LIMIT_FANOUT], limits)
 
     def _tell_suspects(self, lines: list[str]) -> None:
         self._told.extend(lines)
         self._told_more.give()
 
-    def _tell_limit(self, news: LimitNews) -> None:
+    def _queue_limit(self, news: LimitNews) -> None:
         self._limits[news.runner] = news
         self._told_more.give()
 
-    def _hear_limits(self, limits: list[LimitNews]) -> None:
+    def _receive_limits(self, limits: list[LimitNews]) -> None:
         """Take in runners' limits, and pass on what wasn't known here."""
         for news in limits:
             if self._runners.table.hear_limit(news, time.monotonic()):
-                self._tell_limit(news)
+                self._queue_limit(news)
 
-    def _hear_suspects(self, lines: list[str]) -> None:
+    def _receive_suspects(self, lines: list[str]) -> None:
         self._suspects.hear(lines, time.monotonic())
 
     def _set_limits(self, configuration: Configuration) -> None:
@@ -357,8 +360,8 @@
 
     async def _answer_ready(self, scope: dict, receive: object, send: object) -> None:
         known = self._configuration.table is not None
-        out = self._pressure.is_out(time.monotonic())
-        ready = known and not out and not self._gateway.closing.begun
+        out_of_rotation = self._pressure.is_out(time.monotonic())
+        ready = known and not out_of_rotation and not self._gateway.closing.begun
         status = 200 if ready else 503
         await send(
             {
--- a/knapweedrail/relay/logs.py
+++ b/knapweedrail/relay/logs.py
@@ -17,10 +17,10 @@
 heavy second. A line takes 0.02 ms (mean of 20,000 lines of an answered request): with
 the kept ones 0.6 % of a core."""
 
-KEPT_LINES_PER_SECOND = 100
+PRIORITY_LINES_PER_SECOND = 100
 """Further lines of a second for what is needed most to explain a failure."""
 
-KEPT = frozenset(
+PRIORITY_EVENTS = frozenset(
     {
         Event.ROUTER_STARTED,
         Event.ROUTER_STOPPING,
@@ -36,17 +36,19 @@
 )
 """Events that go on being written when others are left out."""
 
-LINE_BYTES = 2000
+MAX_LINE_BYTES = 2000
 """Longest line; what is longer is cut and says so."""
 
-WAITING_LINES = 2000
+MAX_QUEUED_LINES = 2000
 """Lines that wait for a reader that is slow: 4 MB at the most."""
 
 CLOSE_SECONDS = 0.3
 """How long an ending process waits for a slow reader."""
 
-_NEVER_NEEDED = ("task_uuid", "task_level")
-_KEPT_TYPES = frozenset(f"{event.number} {event.name.lower()}" for event in KEPT)
+_OMITTED_FIELDS = ("task_uuid", "task_level")
+_PRIORITY_TYPES = frozenset(
+    f"{event.number} {event.name.lower()}" for event in PRIORITY_EVENTS
+)
 
 
 class LogWriter:
@@ -62,11 +64,11 @@
 
     def __init__(self, stream: BinaryIO) -> None:
         self._stream = stream
-        self._queue: queue.Queue[bytes | None] = queue.Queue(WAITING_LINES)
+        self._queue: queue.Queue[bytes | None] = queue.Queue(MAX_QUEUED_LINES)
         self._thread = threading.Thread(target=self._write, daemon=True)
         self._second = 0
         self._lines = 0
-        self._left_out: collections.Counter[str] = collections.Counter()
+        self._dropped_by_type: collections.Counter[str] = collections.Counter()
         self.left_out = 0
 
     def start(self) -> None:
@@ -75,7 +77,7 @@
 
     def close(self) -> None:
         """Write what waits, as far as a reader takes it in time."""
-        self._report()
+        self._report_dropped()
         try:
             self._queue.put_nowait(None)
         except queue.Full:
@@ -87,41 +89,41 @@
         second = int(time.monotonic())
         if second != self._second:
             self._second, self._lines = second, 0
-            self._report()
+            self._report_dropped()
         kind = message.get("message_type", "")
         self._lines += 1
         limit = LINES_PER_SECOND
-        if kind in _KEPT_TYPES:
-            limit += KEPT_LINES_PER_SECOND
+        if kind in _PRIORITY_TYPES:
+            limit += PRIORITY_LINES_PER_SECOND
         if self._lines > limit:
-            self._leave_out(kind)
+            self._drop(kind)
         else:
-            self._put(kind, message)
+            self._enqueue(kind, message)
 
-    def _report(self) -> None:
+    def _report_dropped(self) -> None:
         """Say how many lines were left out."""
-        if not self._left_out:
+        if not self._dropped_by_type:
             return
-        counts = dict(self._left_out)
-        self._left_out.clear()
+        counts = dict(self._dropped_by_type)
+        self._dropped_by_type.clear()
         event = Event.LINES_LEFT_OUT
         kind = f"{event.number} {event.name.lower()}"
         line = {"message_type": kind, "timestamp": time.time(), "counts": counts}
-        self._put(kind, line)
+        self._enqueue(kind, line)
 
-    def _put(self, kind: str, message: dict) -> None:
-        shown = {k: v for k, v in message.items() if k not in _NEVER_NEEDED}
+    def _enqueue(self, kind: str, message: dict) -> None:
+        shown = {k: v for k, v in message.items() if k not in _OMITTED_FIELDS}
         line = orjson.dumps(shown, default=repr)
-        if len(line) > LINE_BYTES:
-            head = line[: LINE_BYTES // 2].decode("utf-8", "replace")
+        if len(line) > MAX_LINE_BYTES:
+            head = line[: MAX_LINE_BYTES // 2].decode("utf-8", "replace")
             line = orjson.dumps({"message_type": kind, "cut": head})
         try:
             self._queue.put_nowait(line + b"\n")
         except queue.Full:
-            self._leave_out(kind)
+            self._drop(kind)
 
-    def _leave_out(self, kind: str) -> None:
-        self._left_out[kind] += 1
+    def _drop(self, kind: str) -> None:
+        self._dropped_by_type[kind] += 1
         self.left_out += 1
 
     def _write(self) -> None:
--- a/knapweedrail/relay/measures.py
+++ b/knapweedrail/relay/measures.py
@@ -22,17 +22,17 @@
 DELAY_BOUNDS = [0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1]
 """Seconds by which the event loop is late; each adds to every answer under way."""
 
-MOST_ACCOUNTS = 50
+MAX_ACCOUNTS = 50
 """Accounts with a series of their own; an operator with more asks the ledger."""
 
-LATE_SECONDS = 0.1
+LATE_LOG_THRESHOLD_SECONDS = 0.1
 """Delay of the event loop from which on a line says so: a fifth of the shortest
 objective of callers, and every answer under way was late by it."""
 
-TOLD_SECONDS = 1.0
+LATE_LOG_INTERVAL_SECONDS = 1.0
 """Pause between two such lines."""
 
-CALLS_SECONDS = 10.0
+CALLS_LOG_INTERVAL_SECONDS = 10.0
 """Pause between two lines on the calls to the store."""
 
 
@@ -83,7 +83,7 @@
 
     async def watch_delay(self, pressure: Pressure) -> None:
         """Measure the event loop's delay until cancelled."""
-        told_at = float("-inf")
+        logged_at = float("-inf")
         while True:
             due = time.monotonic() + TICK_SECONDS
             await anyio.sleep(TICK_SECONDS)
@@ -91,8 +91,11 @@
             late = max(0.0, now - due)
             pressure.note_delay(late, now)
             self.delays.record(late)
-            if late >= LATE_SECONDS and now - told_at >= TOLD_SECONDS:
-                told_at = now
+            if (
+                late >= LATE_LOG_THRESHOLD_SECONDS
+                and now - logged_at >= LATE_LOG_INTERVAL_SECONDS
+            ):
+                logged_at = now
                 log_event(
                     Event.LOOP_LATE,
                     seconds=round(late, 3),
@@ -117,14 +120,14 @@
         await send({"type": "http.response.body", "body": body})
 
 
-def limit_accounts(
+def read_per_account(
     accounts: dict[str, Account], read: Callable[[str], float]
 ) -> dict[str, float]:
     """Return a figure of each account, of the first `MOST_ACCOUNTS`."""
-    return {name: read(name) for name in sorted(accounts)[:MOST_ACCOUNTS]}
+    return {name: read(name) for name in sorted(accounts)[:MAX_ACCOUNTS]}
 
 
-class CountedStore(Store):
+class InstrumentedStore(Store):
     """A store whose calls are counted by step, kind and outcome.
 
     Args:
@@ -135,43 +138,45 @@
     def __init__(self, store: Store, measures: RelayMeasures) -> None:
         self._store = store
         self._measures = measures
-        self._begun: Counter[str] = Counter()
+        self._started: Counter[str] = Counter()
 
     async def list_kind(self, kind: str, stale: bool = False) -> Any:
         step = "list-stale" if stale else "list"
-        return await self._count(step, kind, self._store.list_kind(kind, stale))
+        return await self._count_call(step, kind, self._store.list_kind(kind, stale))
 
     async def watch_kind(self, kind: str, revision: int, seconds: float) -> Any:
         call = self._store.watch_kind(kind, revision, seconds)
-        return await self._count("watch", kind, call)
+        return await self._count_call("watch", kind, call)
 
     async def peek(self, kind: str, name: str) -> Any:
-        return await self._count("peek", kind, self._store.peek(kind, name))
+        return await self._count_call("peek", kind, self._store.peek(kind, name))
 
     async def create(self, kind: str, name: str, spec: Any) -> Any:
-        return await self._count("create", kind, self._store.create(kind, name, spec))
+        return await self._count_call(
+            "create", kind, self._store.create(kind, name, spec)
+        )
 
     async def replace(self, kind: str, name: str, spec: Any, revision: int) -> Any:
         call = self._store.replace(kind, name, spec, revision)
-        return await self._count("replace", kind, call)
+        return await self._count_call("replace", kind, call)
 
     async def delete(self, kind: str, name: str) -> Any:
-        return await self._count("delete", kind, self._store.delete(kind, name))
+        return await self._count_call("delete", kind, self._store.delete(kind, name))
 
-    async def log_calls(self) -> None:
+    async def report_calls(self) -> None:
         """Write a line now and then on the calls that were begun, until cancelled."""
         while True:
-            await anyio.sleep(CALLS_SECONDS)
-            self.log_begun()
+            await anyio.sleep(CALLS_LOG_INTERVAL_SECONDS)
+            self.log_call_counts()
 
-    def log_begun(self) -> None:
+    def log_call_counts(self) -> None:
         """Write a line on the calls that were begun since the last one."""
-        if self._begun:
-            log_event(Event.STORE_CALLS, calls=dict(self._begun))
-            self._begun.clear()
+        if self._started:
+            log_event(Event.STORE_CALLS, calls=dict(self._started))
+            self._started.clear()
 
-    async def _count(self, step: str, kind: str, call: Awaitable[Any]) -> Any:
-        self._begun[f"{step} {kind}"] += 1
+    async def _count_call(self, step: str, kind: str, call: Awaitable[Any]) -> Any:
+        self._started[f"{step} {kind}"] += 1
         outcome = await call
         name = type(outcome).__name__.lower()
         self._measures.store_calls.add(1, {"step": step, "kind": kind, "outcome": name})
--- a/knapweedrail/relay/options.py
+++ b/knapweedrail/relay/options.py
@@ -18,19 +18,19 @@
 """Kept of the time until a relay is in touch again: for the answer to a watch that has
 ended, and where it is overdue for a pause and the calls that catch up."""
 
-LEAST_WATCH_SECONDS = 1.0
+MIN_WATCH_SECONDS = 1.0
 """Shortest wait of a watch. Where bounds leave less, as with less than 1.8 s to be in
 touch again, they aren't met after an outage."""
 
-SPARE_SECONDS = 0.2
+MAX_AGE_SLACK_SECONDS = 0.2
 """How much later than that a configuration may be confirmed, before a key or route that
 it doesn't know may be one of a newer version."""
 
-BEAT_SHARE = 0.25
+HEARTBEAT_SHARE = 0.25
 """Part of the shortest time in which a change must be obeyed that passes between two
 readings of what other relays know."""
 
-SILENT_BEATS = 2
+MAX_MISSED_HEARTBEATS = 2
 """Readings without an answer after which another relay's word counts no more. What is
 left of the bound is enough to ask the store."""
 
@@ -40,12 +40,12 @@
 other, or configurations come in quick succession, each change would cost a call of
 every relay."""
 
-MOST_MILLISECONDS = 3_600_000
+MAX_MILLISECONDS = 3_600_000
 
 
 def milliseconds(reason: str, default: int) -> object:
     """Declare a time in whole milliseconds."""
-    return count("milliseconds", reason, default, 0, MOST_MILLISECONDS)
+    return count("milliseconds", reason, default, 0, MAX_MILLISECONDS)
 
 
 @attrs.frozen(kw_only=True)
@@ -101,14 +101,14 @@
         for what was acknowledged in the meantime.
         """
         seconds = self.contact_milliseconds / 1000 - CATCH_UP_SECONDS
-        return max(LEAST_WATCH_SECONDS, seconds - self.beat_seconds)
+        return max(MIN_WATCH_SECONDS, seconds - self.beat_seconds)
 
     @property
     def configuration_limit_seconds(self) -> float:
         """Age up to which a configuration counts as confirmed: it is by each watch, of
         this relay or of one that tells it."""
         watch = self.configuration_watch_seconds + self.beat_seconds
-        return watch + CATCH_UP_SECONDS + SPARE_SECONDS
+        return watch + CATCH_UP_SECONDS + MAX_AGE_SLACK_SECONDS
 
     @property
     def runner_watch_seconds(self) -> float:
@@ -120,24 +120,24 @@
         """
         bound = self.contact_milliseconds + self.leaving_milliseconds
         seconds = bound / 1000 - MARGIN_SECONDS - self.beat_seconds
-        return max(LEAST_WATCH_SECONDS, seconds)
+        return max(MIN_WATCH_SECONDS, seconds)
 
     @property
     def runner_limit_seconds(self) -> float:
         """Age up to which the list of runners counts as confirmed."""
         watch = self.runner_watch_seconds + self.beat_seconds
-        return watch + CATCH_UP_SECONDS + SPARE_SECONDS
+        return watch + CATCH_UP_SECONDS + MAX_AGE_SLACK_SECONDS
 
     @property
     def beat_seconds(self) -> float:
         """Time between two readings of what other relays know of the store."""
         bound = min(self.configuration_milliseconds, self.leaving_milliseconds)
-        return BEAT_SHARE * bound / 1000
+        return HEARTBEAT_SHARE * bound / 1000
 
     @property
     def silence_seconds(self) -> float:
         """Time after which a relay that doesn't answer readings is given up."""
-        return SILENT_BEATS * self.beat_seconds
+        return MAX_MISSED_HEARTBEATS * self.beat_seconds
 
     @property
     def configuration_batch_seconds(self) -> float:
--- a/knapweedrail/relay/shutdowns.py
+++ b/knapweedrail/relay/shutdowns.py
@@ -13,12 +13,12 @@
 
 import attrs
 
-END_SECONDS = 1.3
+RESERVED_SECONDS = 1.3
 """Most that is kept of the time to stop for giving tokens back and closing what is
 left; a process that is still there when the time is over is killed, and its last log
 lines with it. Closing was seen to take 0.3 s, giving back may wait for the store."""
 
-END_SHARE = 1 / 7
+RESERVED_SHARE = 1 / 7
 """And the most in parts of the time to stop: of three seconds, 1.3 would be kept from
 answers that could still end."""
 
@@ -26,47 +26,47 @@
 """Part of what is kept for the end in which tokens go back. Half of it was too much on
 a host with half a core, which was killed before its process had ended."""
 
-FRESH_SECONDS = 2.5
+ADMISSION_WINDOW_SECONDS = 2.5
 """How long after the signal requests are taken whose own limit doesn't fit. The
 balancer takes 2.2 s to notice; whoever is sent here later has other hosts. Half a
 second less than the three that callers are granted, for a signal that is noticed
 late."""
 
-UNKNOWN_SECONDS = 3.0
+MIN_ESTIMATE_SECONDS = 3.0
 """What an answer is thought to take at least on a route of which few have ended here:
 right after a start the slow ones are those that haven't ended yet."""
 
-LEAST_ANSWERS = 16
+MIN_SAMPLES = 16
 """Answers from which on a route is judged by them alone: of so many, one is slower than
 nineteen in twenty."""
 
-KEPT_ANSWERS = 64
+MAX_SAMPLES = 64
 """Answers by which a route is judged: at a few requests a second and host, the last
 half minute; one in sixty is slower than all of them."""
 
 
 @attrs.define
-class _RouteTimes:
-    ended: collections.deque[float] = attrs.Factory(
-        lambda: collections.deque(maxlen=KEPT_ANSWERS)
+class _RouteDurations:
+    finished: collections.deque[float] = attrs.Factory(
+        lambda: collections.deque(maxlen=MAX_SAMPLES)
     )
     running: dict[int, float] = attrs.Factory(dict)
 
 
-class AnswerTimes:
+class AnswerDurations:
     """How long answers take, by route."""
 
     def __init__(self) -> None:
-        self._routes: dict[str, _RouteTimes] = {}
+        self._routes: dict[str, _RouteDurations] = {}
         self._numbers = itertools.count()
 
     def begin(self, route: str, now: float) -> int:
         """Take in that an answer is under way; return its number."""
         number = next(self._numbers)
-        self._routes.setdefault(route, _RouteTimes()).running[number] = now
+        self._routes.setdefault(route, _RouteDurations()).running[number] = now
         return number
 
-    def end(self, route: str, number: int, now: float, counts: bool) -> None:
+    def end(self, route: str, number: int, now: float, is_sample: bool) -> None:
         """Take in that it isn't any more.
 
         Args:
@@ -74,20 +74,20 @@
                 nothing of that.
         """
         began_at = self._routes[route].running.pop(number)
-        if counts:
-            self.note(route, now - began_at)
+        if is_sample:
+            self.record(route, now - began_at)
 
-    def note(self, route: str, seconds: float) -> None:
+    def record(self, route: str, seconds: float) -> None:
         """Take in an answer that has ended."""
-        self._routes.setdefault(route, _RouteTimes()).ended.append(seconds)
+        self._routes.setdefault(route, _RouteDurations()).finished.append(seconds)
 
     def find_slowest(self, route: str, now: float) -> float:
         """Return the longest of the last answers and of those under way, seconds."""
-        times = self._routes.get(route, _RouteTimes())
-        slowest = max(times.ended, default=0.0)
-        if len(times.ended) < LEAST_ANSWERS:
-            slowest = max(slowest, UNKNOWN_SECONDS)
-        oldest = now - min(times.running.values(), default=now)
+        durations = self._routes.get(route, _RouteDurations())
+        slowest = max(durations.finished, default=0.0)
+        if len(durations.finished) < MIN_SAMPLES:
+            slowest = max(slowest, MIN_ESTIMATE_SECONDS)
+        oldest = now - min(durations.running.values(), default=now)
         return max(slowest, oldest)
 
 
@@ -104,22 +104,22 @@
         seconds: Time from then until it is killed.
     """
 
-    asked_at: float
+    requested_at: float
     seconds: float
 
     @property
-    def ends_at(self) -> float:
+    def answers_due_at(self) -> float:
         """When the last answers must have ended."""
-        kept = min(END_SECONDS, END_SHARE * self.seconds)
-        return self.asked_at + self.seconds - kept
+        reserved = min(RESERVED_SECONDS, RESERVED_SHARE * self.seconds)
+        return self.requested_at + self.seconds - reserved
 
     @property
-    def released_at(self) -> float:
+    def tokens_due_at(self) -> float:
         """When tokens must have gone back, so that the rest can be closed."""
-        kept = self.asked_at + self.seconds - self.ends_at
-        return self.ends_at + RELEASE_SHARE * kept
+        reserved = self.requested_at + self.seconds - self.answers_due_at
+        return self.answers_due_at + RELEASE_SHARE * reserved
 
-    def takes(self, now: float, limit: float, slowest: float) -> bool:
+    def admits(self, now: float, limit: float, slowest: float) -> bool:
         """Return whether a request that is here now should run.
 
         A request whose own limit ends in time is safe whatever its runner does, and is
@@ -131,8 +131,8 @@
                 caller's or its route's, seconds.
             slowest: What the slowest of the last answers on its route took, seconds.
         """
-        left = self.ends_at - now
+        left = self.answers_due_at - now
         if limit <= left:
             return True
-        fresh = now <= self.asked_at + FRESH_SECONDS
-        return fresh and slowest <= left
+        in_window = now <= self.requested_at + ADMISSION_WINDOW_SECONDS
+        return in_window and slowest <= left
--- a/knapweedrail/tests/test_events.py
+++ b/knapweedrail/tests/test_events.py
@@ -15,6 +15,6 @@
     assert listed == known
 
 
-def test_no_number_stands_twice():
+def test_event_numbers_are_unique():
     numbers = [event.number for event in Event]
     assert len(numbers) == len(set(numbers))
--- a/knapweedrail/tests/test_platform_requests.py
+++ b/knapweedrail/tests/test_platform_requests.py
@@ -43,8 +43,8 @@
     assert (request.deadline, request.key, request.last_event) == (5.0, "k1", 12)
 
 
-@pytest.mark.parametrize("name", sorted(names.OURS))
-def test_a_caller_cannot_set_what_is_the_systems_to_set(name):
+@pytest.mark.parametrize("name", sorted(names.RESERVED_HEADERS))
+def test_caller_cannot_set_reserved_headers(name):
     """A caller names another account, or the memory of another caller's run, in a
     header that runners believe."""
     odd = name.decode().upper().encode()
@@ -54,7 +54,7 @@
     assert b"again" not in [value for _, value in sent]
 
 
-def test_the_key_stays_here_and_the_account_is_named():
+def test_key_is_removed_and_account_is_sent():
     request = decode((b"Knapweedrail-Key", b"k1"))
     sent = encode(request)
     assert b"k1" not in sent.values()
@@ -67,7 +67,7 @@
     assert b"knapweedrail-tenant" not in {name.lower() for name in sent}
 
 
-def test_headers_of_one_connection_are_not_passed_on():
+def test_hop_by_hop_headers_are_not_forwarded():
     request = decode(
         (b"Connection", b"keep-alive, X-Hop"),
         (b"X-Hop", b"1"),
@@ -79,7 +79,7 @@
     assert not sent & {b"connection", b"x-hop", b"transfer-encoding"}
 
 
-def test_a_caller_cannot_drop_the_requests_identity_by_naming_it_a_connections():
+def test_connection_header_cannot_remove_request_id():
     request = decode((b"Connection", b"Knapweedrail-Request-Id"))
     assert encode(request)[b"Knapweedrail-Request-Id"] == b"id-1"
 
@@ -94,13 +94,13 @@
         [(b"Knapweedrail-Token-Usage", b"1,1"), (b"Knapweedrail-Token-Usage", b"9,9")],
     ],
 )
-def test_a_request_that_two_readers_would_read_differently_is_malformed(headers):
+def test_conflicting_duplicate_headers_are_malformed(headers):
     """One reader takes the first of two values, another the last; a request hidden in
     the difference would be run for nobody's account."""
     assert isinstance(decode(*headers), Malformed)
 
 
-def test_a_resumed_run_names_the_last_event_that_the_caller_has():
+def test_resumed_request_sends_last_event_of_caller():
     request = decode((b"Last-Event-Id", b"3"))
     sent = CODEC.encode_request(request, make_runner("i-1"), "farm", 1, 2, 0, 7)
     found = [value for name, value in sent if name.lower() == b"last-event-id"]
@@ -124,12 +124,12 @@
 
 
 @pytest.mark.parametrize("text", [b"", b"x", b"1,2", b"1,2,x", b"-1,0,8"])
-def test_a_load_that_cannot_be_read_is_no_load(text):
+def test_invalid_load_header_is_ignored(text):
     answer = CODEC.decode_answer(200, [(b"Knapweedrail-Server-Load", text)])
     assert answer.running is None
 
 
-def test_headers_of_an_answer_that_no_relay_reads_are_named():
+def test_unknown_answer_headers_are_listed():
     """Guards against a runner's word that is passed on and heeded by nobody."""
     headers = [(b"X-New", b"1"), (b"Content-Type", b"text/plain"), (b"Date", b"now")]
     headers += [(b"Knapweedrail-Server-Load", b"1,2,3"), (b"Keep-Alive", b"timeout=5")]
--- a/knapweedrail/tests/test_platform_store.py
+++ b/knapweedrail/tests/test_platform_store.py
@@ -47,7 +47,7 @@
         group.cancel_scope.cancel()
 
 
-async def test_a_write_takes_effect_only_at_the_revision_that_was_seen():
+async def test_write_requires_current_revision():
     async with run_store() as (objects, client):
         written = await client.create("k", "a", {"n": 1})
         assert isinstance(written, Written)
@@ -60,7 +60,7 @@
         assert isinstance(await client.replace("k", "b", {}, 1), Missing)
 
 
-async def test_a_write_without_an_answer_is_unknown_and_a_refused_one_is_not():
+async def test_lost_answer_is_unknown_and_refused_write_is_unavailable():
     async with run_store() as (objects, client):
         objects.misbehaviour.lose_answers = 1
         assert isinstance(await client.create("k", "a", {}), Unknown)
@@ -71,7 +71,7 @@
         assert isinstance(await client.list_kind("k"), Unavailable)
 
 
-async def test_a_list_of_several_pages_is_read_whole():
+async def test_list_of_several_pages_is_read_completely():
     async with run_store() as (objects, client):
         for number in range(120):
             objects.put("k", f"n-{number:03}", number)
@@ -80,7 +80,7 @@
         assert [stored.spec for stored in listing.objects] == list(range(120))
 
 
-async def test_a_watch_tells_changes_and_when_history_is_gone():
+async def test_watch_returns_changes_and_reports_lost_history():
     async with run_store() as (objects, client):
         start = objects.revision
         objects.put("k", "a", 1)
@@ -95,7 +95,7 @@
         assert isinstance(await client.watch_kind("k", start, 0.1), HistoryGone)
 
 
-async def test_runners_are_followed_through_an_outage_and_lost_history():
+async def test_runner_list_recovers_from_outage_and_lost_history():
     """The store goes away; meanwhile a runner leaves and another comes, and the history
     that would tell is dropped. Requests would go to a runner that is gone."""
     async with run_store() as (objects, client):
@@ -119,7 +119,7 @@
             await follower.close()
 
 
-async def test_tokens_come_from_the_ledger_though_answers_are_lost():
+async def test_tokens_are_granted_once_despite_lost_answers():
     """Each write's answer is lost for a while. A relay that counted the tokens of each
     try would hold them twice."""
     configuration = make_configuration(make_route(Repetition.SAFE), prepaid=1000)
@@ -217,12 +217,12 @@
 
 
 @pytest.mark.parametrize("spec", [None, {}, [], {"version": 1, "routes": [{}]}])
-def test_what_is_no_configuration_is_an_error_of_its_own(spec):
+def test_invalid_configuration_raises_decoding_error(spec):
     with pytest.raises(DecodingError):
         decode_configuration(spec)
 
 
-def test_what_operators_and_runners_write_is_read_as_it_was_meant():
+def test_encoded_objects_decode_to_the_same_values():
     meant = make_configuration(make_route(Repetition.STREAM), prepaid=5)
     assert decode_configuration(encode_configuration(meant)) == meant
     nobody = attrs.evolve(meant, accounts=None)
@@ -231,7 +231,7 @@
     assert decode_runner("i-1", encode_runner(runner)) == runner
 
 
-def test_a_runner_is_ready_or_leaving_and_nothing_else():
+def test_runner_state_is_ready_or_leaving():
     assert decode_runner("i", RUNNER).state is RunnerState.READY
     leaving = decode_runner("i", {**RUNNER, "state": "draining"})
     assert leaving.state is RunnerState.LEAVING
@@ -240,7 +240,7 @@
             decode_runner("i", spec)
 
 
-async def test_one_object_is_looked_at_cheaply():
+async def test_peek_returns_one_object_or_missing():
     async with run_store() as (objects, client):
         objects.put("things", "a", {"n": 1})
         found = await client.peek("things", "a")
@@ -249,7 +249,7 @@
 
 
 @pytest.mark.parametrize("item", [7, {}, {"metadata": {"name": 7, "revision": 1}}])
-async def test_an_object_without_a_name_hides_no_other(item, monkeypatch):
+async def test_object_without_name_is_skipped(item, monkeypatch):
     """Taken for an error, it would end the task that follows the kind, or make the
     store count as away for as long as it is there."""
     sound = {"metadata": {"name": "a", "revision": 5}, "spec": 1}
--- a/knapweedrail/tests/test_relay_door.py
+++ b/knapweedrail/tests/test_relay_door.py
@@ -23,11 +23,11 @@
     b"POST /a/x HTTP/1.1\r\nHost: h.example\r\nKnapweedrail-Request-Id: id-1\r\n"
     b"Knapweedrail-Key: key-of-farm\r\nKnapweedrail-Deadline-Ms: 3000\r\n"
 )
-HIDDEN = HEAD.replace(b"/a/x", b"/a/hidden").replace(b"id-1", b"id-2")
+SMUGGLED = HEAD.replace(b"/a/x", b"/a/hidden").replace(b"id-1", b"id-2")
 
 
 @contextlib.asynccontextmanager
-async def open_door():
+async def run_server():
     runner = ScriptedRunner(answer_well)
     configuration = make_configuration(make_route(Repetition.SAFE))
     async with run_relay(configuration, runner) as relay:
@@ -39,7 +39,7 @@
             await server.close(0.1)
 
 
-async def talk(host, port, data, seconds=1.0):
+async def send_raw(host, port, data, seconds=1.0):
     """Send bytes and return all that comes until the end, or until nothing comes."""
     got = b""
     async with await anyio.connect_tcp(host, port) as stream:
@@ -51,9 +51,9 @@
     return got
 
 
-async def talk_quietly(host, port, data):
+async def send_raw_until_idle(host, port, data):
     with contextlib.suppress(TimeoutError):
-        return await talk(host, port, data, 0.5)
+        return await send_raw(host, port, data, 0.5)
     return b""
 
 
@@ -61,13 +61,13 @@
     return [head.split(" ")[1] for head in runner.heads]
 
 
-async def test_a_request_with_a_length_and_chunks_is_refused_at_once():
+async def test_content_length_with_chunked_encoding_is_refused_immediately():
     """One reader goes by the length, another by the chunks. What one takes for the
     body's end, the other takes for the next request, of nobody's account. A caller
     that sent both by mistake must not wait until it gives up."""
-    async with open_door() as (runner, host, port):
+    async with run_server() as (runner, host, port):
         data = HEAD + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
-        got = await talk(host, port, data + b"0\r\n\r\n" + HIDDEN + b"\r\n")
+        got = await send_raw(host, port, data + b"0\r\n\r\n" + SMUGGLED + b"\r\n")
     assert got.startswith(b"HTTP/1.1 400 ")
     assert got.count(b"HTTP/1.1") == 1
     assert runner.heads == []
@@ -85,70 +85,72 @@
         b"X-Bad Name: 1\r\n\r\n",
     ],
 )
-async def test_a_request_of_unclear_length_is_refused(lines):
+async def test_ambiguous_body_length_is_refused(lines):
     """Nobody can say where such a request ends, so nothing of it may run."""
-    async with open_door() as (runner, host, port):
-        got = await talk(host, port, HEAD + lines)
+    async with run_server() as (runner, host, port):
+        got = await send_raw(host, port, HEAD + lines)
     assert got.split(b" ")[1] in (b"400", b"501")
     assert runner.heads == []
 
 
-async def test_a_request_inside_a_body_is_a_body():
+async def test_request_embedded_in_body_is_forwarded_as_body():
     """A body holds the bytes of a whole request. A relay that passed its bytes on
     without their length would make the runner run it."""
-    hidden = HIDDEN + b"Content-Length: 0\r\n\r\n"
-    async with open_door() as (runner, host, port):
-        data = HEAD + b"Content-Length: %d\r\n\r\n" % len(hidden) + hidden
-        await talk_quietly(host, port, data)
+    smuggled = SMUGGLED + b"Content-Length: 0\r\n\r\n"
+    async with run_server() as (runner, host, port):
+        data = HEAD + b"Content-Length: %d\r\n\r\n" % len(smuggled) + smuggled
+        await send_raw_until_idle(host, port, data)
     assert list_targets(runner) == ["/a/x"]
-    assert runner.bodies == [hidden]
+    assert runner.bodies == [smuggled]
 
 
-async def test_chunks_reach_the_runner_as_one_body_with_a_length():
-    async with open_door() as (runner, host, port):
+async def test_chunked_body_is_forwarded_with_content_length():
+    async with run_server() as (runner, host, port):
         chunks = b"3;note=x\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: 1\r\n\r\n"
         data = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks
-        await talk_quietly(host, port, data)
+        await send_raw_until_idle(host, port, data)
     assert runner.bodies == [b"abcde"]
 
 
-async def test_requests_sent_without_waiting_are_answered_in_order():
-    async with open_door() as (runner, host, port):
+async def test_pipelined_requests_are_answered_in_order():
+    async with run_server() as (runner, host, port):
         first = HEAD + b"Content-Length: 1\r\n\r\na"
-        second = HIDDEN + b"Content-Length: 1\r\nConnection: close\r\n\r\nb"
-        got = await talk(host, port, first + second)
+        second = SMUGGLED + b"Content-Length: 1\r\nConnection: close\r\n\r\nb"
+        got = await send_raw(host, port, first + second)
     assert got.count(b"HTTP/1.1 200") == 2
     assert got.index(b"id-1") < got.index(b"id-2")
     assert list_targets(runner) == ["/a/x", "/a/hidden"]
 
 
-async def test_headers_without_end_are_refused():
+async def test_endless_headers_are_refused():
     """A caller sends header lines for ever. Kept, they would fill the memory."""
-    async with open_door() as (runner, host, port):
+    async with run_server() as (runner, host, port):
         lines = b"".join(b"X-%d: 1\r\n" % number for number in range(20_000))
-        got = await talk(host, port, HEAD + lines + b"\r\n")
+        got = await send_raw(host, port, HEAD + lines + b"\r\n")
     assert got == b"" or got.split(b" ")[1] in (b"400", b"431")
     assert runner.heads == []
 
 
-async def test_a_target_with_odd_bytes_is_passed_on_as_sent():
-    async with open_door() as (runner, host, port):
+async def test_request_target_is_forwarded_unchanged():
+    async with run_server() as (runner, host, port):
         head = HEAD.replace(b"/a/x", b"/a/%2e%2e/x%20y?q=%00&r=a+b")
-        await talk_quietly(host, port, head + b"Content-Length: 0\r\n\r\n")
+        await send_raw_until_idle(host, port, head + b"Content-Length: 0\r\n\r\n")
     assert list_targets(runner) == ["/a/%2e%2e/x%20y?q=%00&r=a+b"]
 
 
-async def test_a_websocket_or_an_upgrade_is_no_way_in():
-    async with open_door() as (runner, host, port):
+async def test_websocket_upgrade_is_refused():
+    async with run_server() as (runner, host, port):
         lines = b"Connection: Upgrade\r\nUpgrade: websocket\r\n"
         lines += b"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n"
         lines += b"Sec-WebSocket-Version: 13\r\n\r\n"
-        got = await talk_quietly(host, port, HEAD.replace(b"POST", b"GET") + lines)
+        got = await send_raw_until_idle(
+            host, port, HEAD.replace(b"POST", b"GET") + lines
+        )
     assert b" 101 " not in got
     assert runner.heads == []
 
 
-async def test_a_stopping_relay_refuses_what_it_may_not_finish():
+async def test_draining_relay_refuses_requests_it_may_not_finish():
     """A relay is told to stop, and a caller with an open connection sends a long plan
     four seconds later. The relay's time was over in the middle of the answer, and the
     caller saw it broken off."""
@@ -166,7 +168,7 @@
     assert len(runner.heads) == 1
 
 
-async def test_a_request_that_crosses_the_closing_of_its_connection_does_not_run():
+async def test_request_arriving_while_connections_close_does_not_run():
     """A relay closes its callers' connections at the end of a stop, and one of them
     sends a slot confirmation at that moment. Passed on, the slot would be confirmed and
     its caller would never hear of it; it tries again, and two gangs come."""
@@ -174,17 +176,17 @@
     route = make_route(Repetition.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
         relay.gateway.closing.begin(Shutdown(time.monotonic(), 8.0))
-        relay.gateway.closing.shut = True
+        relay.gateway.closing.closing_connections = True
         answer = await relay.call()
     assert answer.status == 503 and b"not run" in answer.body
     assert runner.heads == []
 
 
-async def test_a_body_that_never_ends_is_not_put_down_to_a_stop():
+async def test_incomplete_body_is_refused_with_deadline():
     """A caller's link is so slow that its request isn't in when its time is over. Told
     that the host stops, whoever looks for the cause looks at the wrong place."""
-    async with open_door() as (runner, host, port):
+    async with run_server() as (runner, host, port):
         head = HEAD.replace(b"3000", b"300") + b"Content-Length: 9\r\n\r\nhalf"
-        got = await talk_quietly(host, port, head)
+        got = await send_raw_until_idle(host, port, head)
     assert got.startswith(b"HTTP/1.1 504 ") and b"refusal:deadline" in got
     assert b"not run" in got and runner.heads == []
--- a/knapweedrail/tests/test_relay_logs.py
+++ b/knapweedrail/tests/test_relay_logs.py
@@ -7,15 +7,15 @@
 
 from ..events import Event
 from ..relay.logs import (
-    KEPT_LINES_PER_SECOND,
-    LINE_BYTES,
     LINES_PER_SECOND,
-    WAITING_LINES,
+    MAX_LINE_BYTES,
+    MAX_QUEUED_LINES,
+    PRIORITY_LINES_PER_SECOND,
     LogWriter,
 )
 
 
-def name(event):
+def format_type(event):
     return f"{event.number} {event.name.lower()}"
 
 
@@ -38,46 +38,54 @@
     return [orjson.loads(line) for line in data.splitlines()]
 
 
-def test_a_reader_that_stopped_reading_holds_nobody_up():
+def test_stalled_log_reader_does_not_block():
     """Whoever collects the logs hangs, and the pipe fills. Every caller would wait for
     the line that says what became of it."""
     _, stream = open_pipe()
     logs = LogWriter(stream)
     logs.start()
     began_at = time.monotonic()
-    for number in range(20 * WAITING_LINES):
+    for number in range(20 * MAX_QUEUED_LINES):
         logs({"message_type": f"{number} x", "text": "y" * 100})
     logs.close()
     assert time.monotonic() - began_at < 5.0
     assert logs.left_out > 0
 
 
-def test_lines_beyond_the_bound_are_counted_and_refusals_are_kept_longest():
+def test_excess_lines_are_counted_and_refusals_have_priority():
     """Everything fails at once, and each failure has its lines."""
     reading, stream = open_pipe()
     logs = LogWriter(stream)
     logs.start()
     for _ in range(LINES_PER_SECOND + 50):
-        logs({"message_type": name(Event.RUNNER_LISTED)})
-    for _ in range(KEPT_LINES_PER_SECOND // 2 - 20):
-        logs({"message_type": name(Event.REQUEST_REFUSED)})
+        logs({"message_type": format_type(Event.RUNNER_LISTED)})
+    for _ in range(PRIORITY_LINES_PER_SECOND // 2 - 20):
+        logs({"message_type": format_type(Event.REQUEST_REFUSED)})
     logs.close()
     lines = read_lines(reading)
     kinds = [line["message_type"] for line in lines]
-    said = [
-        line for line in lines if line["message_type"] == name(Event.LINES_LEFT_OUT)
+    reports = [
+        line
+        for line in lines
+        if line["message_type"] == format_type(Event.LINES_LEFT_OUT)
     ]
-    left_out = sum(sum(line["counts"].values()) for line in said)
+    left_out = sum(sum(line["counts"].values()) for line in reports)
     # Two seconds of the clock may be touched, so up to twice the bound passes.
-    assert kinds.count(name(Event.RUNNER_LISTED)) + left_out == LINES_PER_SECOND + 50
-    assert kinds.count(name(Event.REQUEST_REFUSED)) == KEPT_LINES_PER_SECOND // 2 - 20
+    assert (
+        kinds.count(format_type(Event.RUNNER_LISTED)) + left_out
+        == LINES_PER_SECOND + 50
+    )
+    assert (
+        kinds.count(format_type(Event.REQUEST_REFUSED))
+        == PRIORITY_LINES_PER_SECOND // 2 - 20
+    )
 
 
-def test_a_line_has_a_longest_length():
+def test_long_line_is_truncated():
     reading, stream = open_pipe()
     logs = LogWriter(stream)
     logs.start()
     logs({"message_type": "1 x", "text": "y" * 100_000})
     logs.close()
     os.set_blocking(reading, False)
-    assert len(os.read(reading, 1 << 20)) <= LINE_BYTES
+    assert len(os.read(reading, 1 << 20)) <= MAX_LINE_BYTES
--- a/knapweedrail/tests/test_relay_process.py
+++ b/knapweedrail/tests/test_relay_process.py
@@ -55,7 +55,7 @@
 EVENTS = 30
 
 
-def find_ports(count):
+def find_free_ports(count):
     import socket
 
     sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
@@ -69,14 +69,14 @@
     """One process with its addresses and its log."""
 
     def __init__(self, folder, store_address, changes=None):
-        front, ready, peer, metrics = find_ports(4)
-        self.url = f"http://127.0.0.1:{front}"
+        caller_port, ready, peer, metrics = find_free_ports(4)
+        self.url = f"http://127.0.0.1:{caller_port}"
         self.ready_url = f"http://127.0.0.1:{ready}/ready"
         self.metrics_url = f"http://127.0.0.1:{metrics}/metrics"
         settings = {
             "host": "host-1",
             "data_centre": "dc",
-            "caller_address": f"127.0.0.1:{front}",
+            "caller_address": f"127.0.0.1:{caller_port}",
             "ready_address": f"127.0.0.1:{ready}",
             "peer_address": f"127.0.0.1:{peer}",
             "metrics_address": f"127.0.0.1:{metrics}",
@@ -156,7 +156,7 @@
     return True
 
 
-async def test_callers_of_a_start_wait_for_its_first_configuration(tmp_path):
+async def test_callers_wait_for_first_configuration_at_startup(tmp_path):
     """Guards against callers who are refused at all hosts as these start together."""
     headers = make_headers(1)
     del headers["knapweedrail-token-usage"]
@@ -170,7 +170,7 @@
     assert answer.status_code == 200
 
 
-async def test_a_process_answers_tells_its_metrics_and_logs_the_decision(tmp_path):
+async def test_process_answers_exports_metrics_and_logs(tmp_path):
     async with run_process(tmp_path, answer_well) as (objects, relay, client):
         objects.put("servers", "i-2", make_entry(slots=-8))
         answer = await client.post(f"{relay.url}/a/x", headers=make_headers(1))
@@ -203,7 +203,7 @@
     assert relay.process.returncode == 0
 
 
-async def test_a_stopping_process_cuts_off_no_stream_and_gives_its_tokens_back(
+async def test_shutdown_finishes_streams_and_returns_tokens(
     tmp_path,
 ):
     """The host is asked to stop while a plan streams to its caller. A plan that breaks
@@ -243,7 +243,7 @@
     return False
 
 
-async def test_a_stop_with_open_connections_prints_nothing_but_its_log(tmp_path):
+async def test_shutdown_with_open_connections_prints_only_log_lines(tmp_path):
     """A call still hangs at its runner when the time to stop is over, and others keep
     idle connections. Whoever stopped the process found a dozen tracebacks in its
     output, and looked for a fault."""
@@ -277,7 +277,7 @@
     assert len(cut) == 2 and all(not line["started"] for line in cut)
 
 
-async def test_a_killed_process_leaves_its_tokens_counted(tmp_path):
+async def test_tokens_of_killed_process_count_as_used(tmp_path):
     """The process is killed. What it held may have been spent, so it counts as spent,
     and the process that takes its place can't spend it again."""
     async with run_process(tmp_path, answer_well) as (objects, relay, client):
@@ -286,7 +286,7 @@
         relay.process.wait()
         before = objects.read("token-ledgers", "farm")
         held = sum(tokens for tokens, _ in before["grants"].values())
-        server = objects_address(relay)
+        server = read_store_address(relay)
         again = RelayProcess(tmp_path, server)
         try:
             await wait_ready(client, again)
@@ -310,7 +310,7 @@
     return None
 
 
-def objects_address(relay):
+def read_store_address(relay):
     return orjson.loads((relay._log.parent / "relay.jsonc").read_bytes()[18:])[
         "store_address"
     ]
--- a/knapweedrail/tests/test_relay_shutdown.py
+++ b/knapweedrail/tests/test_relay_shutdown.py
@@ -42,7 +42,7 @@
     return stream_events
 
 
-async def ask_for_stream(relay, number):
+async def request_stream(relay, number):
     """Return the status and whether the answer came whole, as a caller sees it."""
     got = b""
     try:
@@ -57,26 +57,26 @@
     return answer.status_code, got.endswith(make_event(10))
 
 
-async def end(relay, seconds):
+async def wait_for_exit(relay, seconds):
     with anyio.fail_after(seconds):
         while relay.process.poll() is None:
             await anyio.sleep(0.05)
 
 
-async def test_what_cannot_end_before_the_process_is_refused_as_not_run(tmp_path):
+async def test_request_that_may_outlast_process_is_refused(tmp_path):
     """Plans take four seconds here, as the relay has seen. Two seconds after it was
     asked to stop within six, a caller whose connection is open sends one more. Taken,
     it breaks off in the middle; refused, another host answers it."""
     async with run_process(tmp_path, make_slow_stream(4.0)) as (_, relay, _):
-        assert await ask_for_stream(relay, 1) == (200, True)
+        assert await request_stream(relay, 1) == (200, True)
         relay.process.send_signal(signal.SIGTERM)
         await anyio.sleep(2.0)
-        status, _ = await ask_for_stream(relay, 2)
-        await end(relay, 6)
+        status, _ = await request_stream(relay, 2)
+        await wait_for_exit(relay, 6)
     assert status == 503
 
 
-async def test_time_runs_from_the_signal_and_not_from_its_notice(tmp_path):
+async def test_grace_period_counts_from_signal(tmp_path):
     """The process stands still for two fifths of a second just as it is asked to stop.
     Whoever stops it counts from then. A plan sent three seconds and a bit after that
     is taken for one of the first three seconds, and is cut off."""
@@ -95,12 +95,12 @@
                 await client.post(f"{relay.url}/a/x", headers=headers)
             await anyio.sleep(asked_at + 3.2 - (16 - number) * 0.4 - time.monotonic())
         await anyio.sleep(asked_at + 3.2 - time.monotonic())
-        status, _ = await ask_for_stream(relay, 1)
-        await end(relay, 8)
+        status, _ = await request_stream(relay, 1)
+        await wait_for_exit(relay, 8)
     assert status == 503
 
 
-async def test_a_short_time_to_stop_is_used_for_answers(tmp_path):
+async def test_short_grace_period_is_used_for_answers(tmp_path):
     """The host has three seconds to stop. What is kept for the end was measured for
     eight; taken from three, it leaves answers under half of the time, and a plan that
     would have ended in two seconds and a bit is broken off."""
@@ -109,19 +109,19 @@
     async with run_process(tmp_path, script, settings) as (_, relay, _):
         outcomes = []
 
-        async def ask():
-            outcomes.append(await ask_for_stream(relay, 1))
+        async def send_request():
+            outcomes.append(await request_stream(relay, 1))
 
         async with anyio.create_task_group() as group:
-            group.start_soon(ask)
+            group.start_soon(send_request)
             await script.begun.wait()
             relay.process.send_signal(signal.SIGTERM)
-        await end(relay, 3)
+        await wait_for_exit(relay, 3)
     assert outcomes == [(200, True)]
 
 
 @pytest.mark.parametrize("again", [signal.SIGTERM, signal.SIGHUP])
-async def test_a_signal_during_the_stop_changes_nothing(tmp_path, again):
+async def test_second_signal_during_shutdown_is_ignored(tmp_path, again):
     """Whoever stops the host asks twice, or its settings file changes meanwhile. The
     second signal found no handler any more and killed the process: a plan broke off in
     the middle, and the tokens that the relay held were lost."""
@@ -129,22 +129,22 @@
     async with run_process(tmp_path, script) as (objects, relay, _):
         outcomes = []
 
-        async def ask():
-            outcomes.append(await ask_for_stream(relay, 1))
+        async def send_request():
+            outcomes.append(await request_stream(relay, 1))
 
         async with anyio.create_task_group() as group:
-            group.start_soon(ask)
+            group.start_soon(send_request)
             await script.begun.wait()
             relay.process.send_signal(signal.SIGTERM)
             await anyio.sleep(0.5)
             relay.process.send_signal(again)
-        await end(relay, 6)
+        await wait_for_exit(relay, 6)
     assert outcomes == [(200, True)]
     assert relay.process.returncode == 0
     assert objects.read("token-ledgers", "farm")["grants"] == {}
 
 
-async def test_a_silent_store_does_not_hold_up_the_end(tmp_path):
+async def test_unresponsive_store_does_not_delay_exit(tmp_path):
     """The store takes connections and answers nothing while the host is stopped. A
     process that waits for it is killed, and nothing tells how its stop went."""
     settings = {"stop_seconds": 4}
@@ -153,6 +153,6 @@
         assert (await client.post(f"{relay.url}/a/x", headers=headers)).is_success
         objects.misbehaviour.silent = True
         relay.process.send_signal(signal.SIGTERM)
-        await end(relay, 4)
+        await wait_for_exit(relay, 4)
     assert relay.process.returncode == 0
     assert relay.read_log()[-1]["message_type"] == "103 router_stopped"
--- a/knapweedrail/tests/test_relay_shutdown_limits.py
+++ b/knapweedrail/tests/test_relay_shutdown_limits.py
@@ -12,10 +12,10 @@
 from ..relay.clocks import SignalClock
 from ..relay.models import Repetition
 from ..relay.shutdowns import (
-    FRESH_SECONDS,
-    KEPT_ANSWERS,
-    UNKNOWN_SECONDS,
-    AnswerTimes,
+    ADMISSION_WINDOW_SECONDS,
+    MAX_SAMPLES,
+    MIN_ESTIMATE_SECONDS,
+    AnswerDurations,
     Shutdown,
 )
 from .relays_in_memory import (
@@ -33,73 +33,73 @@
 
 
 @given(TIMES_TO_STOP, SECONDS, SECONDS, SECONDS, SECONDS)
-def test_what_is_taken_and_no_slower_than_seen_ends_before_the_process(
+def test_admitted_request_finishes_before_answers_are_due(
     time_to_stop, after, limit, slowest, seconds
 ):
     """Hosts are stopped in turn and callers come at any moment of it. None that is
     taken, and isn't slower than all before it, may still run when its process ends."""
     shutdown = Shutdown(100.0, time_to_stop)
     now = 100.0 + after
-    if shutdown.takes(now, limit, slowest) and seconds <= slowest:
-        assert now + min(limit, seconds) <= shutdown.ends_at
+    if shutdown.admits(now, limit, slowest) and seconds <= slowest:
+        assert now + min(limit, seconds) <= shutdown.answers_due_at
 
 
 @given(TIMES_TO_STOP)
-def test_answers_have_five_sixths_of_the_time_to_stop(time_to_stop):
+def test_answers_get_five_sixths_of_grace_period(time_to_stop):
     """Callers are promised most of the time to stop, however short it is."""
     shutdown = Shutdown(0.0, time_to_stop)
-    assert 5 / 6 * time_to_stop < shutdown.ends_at < time_to_stop
-    assert shutdown.ends_at < shutdown.released_at < time_to_stop
+    assert 5 / 6 * time_to_stop < shutdown.answers_due_at < time_to_stop
+    assert shutdown.answers_due_at < shutdown.tokens_due_at < time_to_stop
 
 
-def test_a_call_with_a_bound_of_its_own_is_taken_as_long_as_that_fits():
+def test_request_is_admitted_while_its_limit_fits():
     """A slot confirmation has its answer within a second and a half whatever its
     endpoint does. Refused all the same, its caller comes to the next host that
     stops."""
     shutdown = Shutdown(0.0, 8.0)
-    assert shutdown.takes(5.0, limit=1.5, slowest=0.1)
-    assert not shutdown.takes(5.5, limit=1.5, slowest=0.1)
+    assert shutdown.admits(5.0, limit=1.5, slowest=0.1)
+    assert not shutdown.admits(5.5, limit=1.5, slowest=0.1)
 
 
-def test_an_unbounded_stream_is_taken_only_while_the_balancer_cannot_know():
+def test_long_stream_is_admitted_only_in_admission_window():
     """Questions may take fifteen seconds and seldom take two. Those that come when the
     balancer has long been told are served by other hosts, and none of them is the one
     that takes four."""
     shutdown = Shutdown(0.0, 8.0)
-    assert shutdown.takes(FRESH_SECONDS, limit=15.0, slowest=2.0)
-    assert not shutdown.takes(FRESH_SECONDS + 0.1, limit=15.0, slowest=2.0)
-    assert not shutdown.takes(2.0, limit=15.0, slowest=5.0)
-
-
-def test_the_slowest_of_the_last_answers_counts_and_fades():
-    times = AnswerTimes()
-    assert times.find_slowest("plans", 0.0) == UNKNOWN_SECONDS
-    times.note("plans", 0.1)
-    assert times.find_slowest("plans", 0.0) == UNKNOWN_SECONDS
-    times.note("plans", 4.0)
-    times.note("questions", 9.0)
-    for _ in range(KEPT_ANSWERS - 1):
-        times.note("plans", 0.5)
-    assert times.find_slowest("plans", 0.0) == 4.0
-    times.note("plans", 0.5)
-    assert times.find_slowest("plans", 0.0) == 0.5
-
-
-def test_what_still_runs_counts_with_its_age():
+    assert shutdown.admits(ADMISSION_WINDOW_SECONDS, limit=15.0, slowest=2.0)
+    assert not shutdown.admits(ADMISSION_WINDOW_SECONDS + 0.1, limit=15.0, slowest=2.0)
+    assert not shutdown.admits(2.0, limit=15.0, slowest=5.0)
+
+
+def test_slowest_recent_answer_counts_until_displaced():
+    durations = AnswerDurations()
+    assert durations.find_slowest("plans", 0.0) == MIN_ESTIMATE_SECONDS
+    durations.record("plans", 0.1)
+    assert durations.find_slowest("plans", 0.0) == MIN_ESTIMATE_SECONDS
+    durations.record("plans", 4.0)
+    durations.record("questions", 9.0)
+    for _ in range(MAX_SAMPLES - 1):
+        durations.record("plans", 0.5)
+    assert durations.find_slowest("plans", 0.0) == 4.0
+    durations.record("plans", 0.5)
+    assert durations.find_slowest("plans", 0.0) == 0.5
+
+
+def test_running_answer_counts_with_its_age():
     """Engines have just become slow: nothing that ended tells of it yet, while streams
     under way are older than any that has ended."""
-    times = AnswerTimes()
-    for _ in range(KEPT_ANSWERS):
-        times.note("plans", 0.5)
-    began = times.begin("plans", 100.0)
-    assert times.find_slowest("plans", 100.2) == 0.5
-    assert times.find_slowest("plans", 105.0) == 5.0
-    times.end("plans", began, 106.0, counts=True)
-    assert times.find_slowest("plans", 200.0) == 6.0
+    durations = AnswerDurations()
+    for _ in range(MAX_SAMPLES):
+        durations.record("plans", 0.5)
+    began = durations.begin("plans", 100.0)
+    assert durations.find_slowest("plans", 100.2) == 0.5
+    assert durations.find_slowest("plans", 105.0) == 5.0
+    durations.end("plans", began, 106.0, is_sample=True)
+    assert durations.find_slowest("plans", 200.0) == 6.0
 
 
 @pytest.mark.anyio
-async def test_time_runs_from_the_signal_though_the_loop_comes_to_it_late():
+async def test_signal_time_is_recorded_while_event_loop_is_blocked():
     """The event loop has so much to do that it comes to a signal a third of a second
     late. The process is killed at a time that counts from the signal."""
     clock = SignalClock()
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_body_that_is_still_on_its_way_at_the_end_gets_a_refusal():
+async def test_incomplete_body_at_shutdown_is_refused():
     """A caller's link is slow, and its request isn't in when the process ends. It found
     an empty 500; told that nothing has run, it comes back at once, elsewhere."""
     runner = ScriptedRunner(hang)
@@ -139,7 +139,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_call_that_hangs_when_the_process_ends_is_told_what_is_known():
+async def test_hanging_call_at_shutdown_gets_outcome_unknown():
     """An endpoint is silent, and the relay's time to stop is over. With its connection
     just closed the caller can't tell whether the slot is confirmed; told that it isn't
     known, it asks."""
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_stream_that_the_end_of_the_process_cuts_off_does_not_look_whole():
+async def test_stream_cut_by_shutdown_is_incomplete():
     runner = ScriptedRunner(begin_stream)
     route = make_route(Repetition.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
--- a/knapweedrail/tests/test_relay_start.py
+++ b/knapweedrail/tests/test_relay_start.py
@@ -40,7 +40,7 @@
     return str(path)
 
 
-def test_callers_can_connect_before_the_libraries_are_read():
+def test_listener_opens_before_heavy_libraries_are_imported():
     """All hosts lose power and start again together. The libraries take half a second
     to read, and until then each caller's connection was refused at every host: it lost
     its attempt, and the one after it."""
@@ -54,7 +54,7 @@
     assert found.stdout.strip() == "[]"
 
 
-def test_a_start_reads_no_library_that_it_does_not_need():
+def test_startup_imports_no_unneeded_library():
     """All hosts of the fleet start together after a loss of power. What each of them
     reads for metrics that nobody has asked for, or for faults that its settings don't
     have, is time in which callers wait."""
@@ -68,7 +68,7 @@
     assert found.stdout.strip() == "[]"
 
 
-def test_the_door_is_open_when_the_rest_is_read(tmp_path, monkeypatch):
+def test_listener_accepts_while_libraries_are_imported(tmp_path, monkeypatch):
     """A caller connects while the process still reads its libraries. Its connection
     waits, and the server answers on it as soon as it runs."""
     reached = []
@@ -91,7 +91,7 @@
     assert reached == [b"GET"]
 
 
-def test_garbage_is_collected_while_the_relay_runs(tmp_path, monkeypatch):
+def test_garbage_collection_is_enabled_while_relay_runs(tmp_path, monkeypatch):
     """No garbage is looked for while the libraries are read. If it stayed so, a host
     would fill its memory in hours and be killed; if the libraries weren't set aside,
     all streams would pause for each look through them."""
@@ -112,7 +112,7 @@
     assert seen == [(True, True)]
 
 
-def test_a_port_that_is_taken_is_said_plainly(tmp_path, capsys):
+def test_occupied_port_is_reported(tmp_path, capsys):
     """Two relays are started on one host by mistake. The second one ends at once and
     names what is in its way."""
     with socket.create_server(("127.0.0.1", 0)) as taken:
@@ -122,7 +122,7 @@
     assert "knapweedrail-relay: " in capsys.readouterr().err
 
 
-def test_a_stop_while_the_process_starts_is_no_failure(tmp_path):
+def test_stop_signal_during_startup_exits_cleanly(tmp_path):
     """A host is asked to stop right after its start, while its relay still reads its
     libraries. The process ended by the signal, and whoever watches hosts was called
     for a relay that had failed. Found by seed 403 of the soak."""
@@ -144,7 +144,7 @@
     assert (found.returncode, found.stderr) == (relay.EXIT_STOPPED, "")
 
 
-def test_changed_settings_while_the_process_starts_end_nothing(tmp_path):
+def test_sighup_during_startup_does_not_end_process(tmp_path):
     """A host starts, and its settings file changes at that moment, which a signal
     tells. By default that signal ends a process: callers that waited found their
     connections reset."""
@@ -167,7 +167,7 @@
         process.close()
 
 
-def test_a_stop_while_the_process_starts_answers_who_waits(tmp_path):
+def test_stop_signal_during_startup_answers_queued_callers(tmp_path):
     """A host starts, callers' requests wait in its queue while the relay reads its
     libraries, and then it is asked to stop. The process ended at once, and callers
     found their connections reset, without knowing whether their requests had run. Found
