--- a/knapweedrail/platform/__init__.py
+++ b/knapweedrail/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: names, formats and calls; it decides nothing."""
+"""Adapter to the users' platform: names, formats and calls, without any policy."""
--- a/knapweedrail/platform/clients.py
+++ b/knapweedrail/platform/clients.py
@@ -1,4 +1,4 @@
-"""Connections to the platform's store."""
+"""HTTP connections to the platform's store."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from ..relay.keepalive import SOCKET_OPTIONS
 
 ANSWER_SECONDS = 1.0
-"""Longest wait for an answer that is due at once: the store answers in milliseconds,
-and a slow one in some hundreds."""
+"""Timeout of a call that is answered immediately. The store usually answers within
+milliseconds, and a slow store within some hundreds of them."""
 
 CONNECT_SECONDS = 0.3
-"""Longest wait for a connection. The first packet that is lost is sent again only after
-a second, so a new try finds out sooner that a cut has ended."""
+"""Timeout of a connection attempt. A lost first packet is sent again only after a
+second, so a new attempt notices sooner that a network partition has ended."""
 
 MAX_CONNECTIONS = 8
-"""Connections to the store: a few waiting watches, and calls beside them."""
+"""Connections to the store: a few for long-polling watches, the rest for calls."""
 
 IDLE_SECONDS = 60.0
-"""How long a connection is kept unused."""
+"""Time for which an idle connection is kept open."""
 
 
 def make_timeout(seconds: float) -> httpx.Timeout:
-    """Return limits for the steps of a call that is answered within so long."""
+    """Return the timeouts of a call whose answer may take that many seconds."""
     return httpx.Timeout(seconds, connect=CONNECT_SECONDS)
 
 
 class StoreClient:
-    """An HTTP client of the store that is closed once its last call has ended.
+    """An HTTP client of the store that can be retired while calls still use it.
 
     Args:
         address: ``host:port``.
@@ -47,8 +47,8 @@
                     max_connections=MAX_CONNECTIONS, keepalive_expiry=IDLE_SECONDS
                 ),
                 socket_options=SOCKET_OPTIONS,
-                # The store speaks plain HTTP, and reading the certificates of public
-                # authorities would make each start longer.
+                # The store uses plain HTTP, and loading the public CA certificates
+                # would make each start slower.
                 verify=False,
             ),
             timeout=make_timeout(ANSWER_SECONDS),
@@ -57,7 +57,7 @@
 
     @contextlib.asynccontextmanager
     async def borrow(self) -> AsyncIterator[httpx.AsyncClient]:
-        """Lend the client for one call."""
+        """Provide the client for one call."""
         self._calls += 1
         try:
             yield self._http
@@ -66,7 +66,7 @@
             await self._close_unused()
 
     async def retire(self) -> None:
-        """Close all connections as soon as no call uses them."""
+        """Close all connections once the last call has ended."""
         self._retired = True
         await self._close_unused()
 
--- a/knapweedrail/platform/converters.py
+++ b/knapweedrail/platform/converters.py
@@ -1,4 +1,4 @@
-"""Values of the store's JSON, of which none is converted from another type."""
+"""Strict converters of JSON values: each rejects values of another type."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 def require_string(value: Any, _: object = None) -> str:
-    """Return a text.
+    """Return a string unchanged.
 
     Raises:
-        TypeError: If it is none.
+        TypeError: If the value isn't a string.
     """
     if not isinstance(value, str):
-        raise TypeError(f"{value!r:.50} isn't text")
+        raise TypeError(f"{value!r:.50} isn't a string")
     return value
 
 
 def require_number(value: Any, _: object = None) -> float:
-    """Return a number; truth values are none, though the language counts them in.
+    """Return a number unchanged; booleans are rejected, though Python counts them.
 
     Raises:
-        TypeError: If it is none.
+        TypeError: If the value isn't a number.
     """
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise TypeError(f"{value!r:.50} isn't a number")
@@ -28,14 +28,14 @@
 
 
 def require_integer(value: Any, _: object = None) -> int:
-    """Return a whole number, also one that is written with a point.
+    """Return an integer, also from a number with a decimal point such as ``5.0``.
 
-    JSON has one type of number, and some writers write all of them alike.
+    JSON has a single number type, and some writers give every number a decimal point.
 
     Raises:
-        TypeError: If it is none.
+        TypeError: If the value isn't an integer.
     """
     number = require_number(value)
     if isinstance(number, float) and not number.is_integer():
-        raise TypeError(f"{value!r:.50} isn't a whole number")
+        raise TypeError(f"{value!r:.50} isn't an integer")
     return int(number)
--- a/knapweedrail/platform/decoding.py
+++ b/knapweedrail/platform/decoding.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store: the operator's configuration and the runners."""
+"""Decodes objects of the store: the operator's configuration and runners' entries."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 _STATES = {READY: RunnerState.READY, DRAINING: RunnerState.LEAVING}
 
 UNLIMITED = 1_000_000
-"""Stands for a number of connections that the operator leaves open."""
+"""Number of connections where the operator sets no limit."""
 
 
 class DecodingError(ValueError):
-    """An object that doesn't have the form that the platform promises."""
+    """An object that doesn't have the documented form."""
 
 
 def decode_configuration(spec: Any) -> Configuration:
     """Decode the operator's configuration.
 
     Raises:
-        DecodingError: If a part is missing or has another type.
+        DecodingError: If a part is missing or has the wrong type.
     """
     try:
         tenants = spec.get("tenants")
@@ -62,14 +62,17 @@
 ) -> Runner:
     """Decode a runner's entry.
 
-    An endpoint that no configuration names is no fault: a later one may name it, and
-    until then no route leads there.
+    An endpoint that isn't in the configuration is valid: a later version may contain
+    it, and until then no route leads to it.
 
     Args:
+        name: Name of the entry.
+        spec: Content of the entry, decoded from JSON.
         read_clock: Returns the time of day, Unix seconds.
 
     Raises:
-        DecodingError: If a part is missing or has another type, or it names no state.
+        DecodingError: If a part is missing or has the wrong type, or if the state is
+            unknown.
     """
     try:
         entry = parse_entry(name, spec)
@@ -88,7 +91,7 @@
 
 
 def _decode_route(item: dict[str, Any]) -> Route:
-    # A route has either one service or a split over several.
+    # A route has either a single service or a traffic split over several.
     split = item.get("trafficSplit")
     if split:
         shares = tuple(Share(part["service"], float(part["weight"])) for part in split)
@@ -117,7 +120,7 @@
         health_path=item.get("healthPath") or "/health",
         max_connections=int(item.get("maxConns") or UNLIMITED),
         cache_tokens=int(engine.get("kvCapacity") or 0),
-        # Tokens in one event of a stream, whatever the name says.
+        # Despite its name, this is the number of tokens in one event of a stream.
         tokens_per_event=max(1, int(engine.get("stride") or 1)),
     )
 
--- a/knapweedrail/platform/encoding.py
+++ b/knapweedrail/platform/encoding.py
@@ -1,6 +1,6 @@
-"""Objects of the platform's store as an operator or a runner writes them.
+"""Encodes objects of the store as an operator or a runner writes them.
 
-For stand-ins and the soak; relays only read these objects.
+Used by stand-ins and by the soak test; relays only read these objects.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def encode_configuration(configuration: Configuration) -> dict[str, Any]:
-    """Return an operator's configuration as it is stored."""
+    """Encode an operator's configuration as it is stored."""
     limits = configuration.limits
     spec: dict[str, Any] = {
         "version": configuration.version,
@@ -49,7 +49,7 @@
 
 
 def encode_runner(runner: Runner) -> dict[str, Any]:
-    """Return a runner's entry as it is stored."""
+    """Encode a runner's entry as it is stored."""
     spec: dict[str, Any] = {
         "service": runner.endpoint,
         "address": runner.address,
--- a/knapweedrail/platform/entries.py
+++ b/knapweedrail/platform/entries.py
@@ -1,7 +1,8 @@
-"""Runners' entries in the store, which other writers may have written as well.
+"""Validates runners' entries in the store, where foreign writers may write as well.
 
-An entry counts only if all that is read of it is there and of its type: converted or
-guessed at, a foreign one would get requests that nobody serves, or serves wrongly.
+An entry is used only if every field that is read is present and has the right type. If
+values were converted or guessed, a foreign entry could get requests that nobody serves
+or that are served wrongly.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 DRAINING = "draining"
 
 MAX_SLOTS = 65_536
-"""Slots beyond which an entry isn't a runner's, which has some hundreds. Load is
-weighed by slots, so that a runner with millions would get every request."""
+"""Largest number of slots of a valid entry; runners have some hundreds. Load is
+weighted by slots, so a runner with millions of them would get every request."""
 
 MAX_TEXT_LENGTH = 253
-"""Longest name of anything, as of a host."""
+"""Longest text field, as for a host name."""
 
 _NAME = re.compile(r"[\w.:/+=~@-]{1,%d}" % MAX_TEXT_LENGTH, re.ASCII)
-"""Names go into headers, and into what relays tell each other, parted by commas."""
+"""Names are sent in headers and in comma-separated messages between relays."""
 
 
 def _check_text(entry: Any, field: attrs.Attribute, value: str) -> None:
     if not (0 < len(value) <= MAX_TEXT_LENGTH and value.isprintable()):
-        raise ValueError(f"{field.name} is {value!r:.50}")
+        raise ValueError(f"{field.name} is not valid text: {value!r:.50}")
 
 
 def _check_address(entry: Any, field: attrs.Attribute, value: str) -> None:
@@ -41,17 +42,17 @@
 
 def _check_slots(entry: Any, field: attrs.Attribute, value: int) -> None:
     if not 1 <= value <= MAX_SLOTS:
-        raise ValueError(f"{value!r:.50} slots")
+        raise ValueError(f"slots out of range: {value!r:.50}")
 
 
 def _check_state(entry: Any, field: attrs.Attribute, value: str) -> None:
     if value not in (READY, DRAINING):
-        raise ValueError(f"no state: {value!r:.50}")
+        raise ValueError(f"unknown state: {value!r:.50}")
 
 
 @attrs.frozen(kw_only=True)
 class RunnerEntry:
-    """An entry as a runner writes it; what has a default here isn't used."""
+    """An entry as a runner writes it; fields with defaults are checked but not used."""
 
     service: str = attrs.field(converter=require_string, validator=_check_text)
     address: str = attrs.field(converter=require_string, validator=_check_address)
@@ -65,22 +66,23 @@
 
 _FIELDS = {field.name: field.name for field in attrs.fields(RunnerEntry)}
 _FIELDS["cold_left"] = "coldLeftMs"
-"""Names on the wire by field."""
+"""Names in the stored object, by field."""
 
 
 def parse_entry(name: str, spec: Any) -> RunnerEntry:
-    """Return a runner's entry.
+    """Validate and return a runner's entry.
 
-    The converter library that settings are read by would do the same. Its import takes
-    71 ms of processor time at every start; 500 entries take 9 ms here (a run of each).
+    The converter library used for settings could do this too, but its import takes
+    71 ms of processor time at every start, while 500 entries take 9 ms here (one
+    measurement each).
 
     Raises:
-        ValueError: If it isn't one.
+        ValueError: If the name or the content isn't a valid entry.
     """
     if not _NAME.fullmatch(name):
-        raise ValueError(f"no runner's name: {name!r:.50}")
+        raise ValueError(f"invalid runner name: {name!r:.50}")
     if not isinstance(spec, dict):
-        raise ValueError(f"no object: {spec!r:.50}")
+        raise ValueError(f"entry is not an object: {spec!r:.50}")
     given = {field: spec[key] for field, key in _FIELDS.items() if key in spec}
     try:
         return RunnerEntry(**given)
--- a/knapweedrail/platform/names.py
+++ b/knapweedrail/platform/names.py
@@ -1,4 +1,4 @@
-"""Headers, kinds and words as the platform spells them."""
+"""Names on the wire of the platform: headers, kinds of objects and their fields."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 LOAD = b"knapweedrail-server-load"
 LIMIT = b"knapweedrail-server-limit"
 UNPREFIXED_LIMIT = b"server-limit"
-"""The limit's name without the prefix that most of the platform's headers have."""
+"""Name of the limit header without the prefix of most platform headers."""
 
 NOT_RUN = b"knapweedrail-not-executed"
 RETRY_AFTER = b"retry-after"
@@ -43,8 +43,8 @@
         b"wait-ms",
     }
 )
-"""Headers that only the system or a runner may set: a caller that sends one could
-pass for another account, or go on from the memory of another caller's run."""
+"""Headers that only the platform or a runner may set. A caller that sends one could
+impersonate another account or continue from another caller's cached prompt."""
 
 HOP_BY_HOP_HEADERS = frozenset(
     {
@@ -62,7 +62,7 @@
         b"content-length",
     }
 )
-"""Headers that concern one connection; each side of the relay has its own."""
+"""Headers that apply to a single connection and aren't forwarded."""
 
 KNOWN_ANSWER_HEADERS = frozenset(
     {
@@ -82,21 +82,21 @@
         b"server",
     }
 )
-"""Headers of answers that are read, or whose meaning doesn't concern a relay."""
+"""Headers of answers that the relay reads or may ignore; others count as unknown."""
 
 REPORT_TARGET = b"/report"
 REPORT_MEMORY = "kvTotal"
-"""Tokens that a runner's memory holds, all of them."""
+"""Field of a runner's report: total number of tokens that fit into its cache."""
 
 RUNNER_ENDPOINT = "service"
 RUNNER_ADDRESS = "address"
 RUNNER_DATA_CENTRE = "zone"
 RUNNER_SLOTS = "slots"
 RUNNER_STATE = "state"
-"""Fields of a runner's entry that each entry has."""
+"""Fields that every runner's entry has."""
 
 STARTED = "born"
-"""When a runner started, in all that it says of itself; Unix milliseconds."""
+"""Field of entries and reports: when the runner started, Unix milliseconds."""
 
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
--- a/knapweedrail/platform/pages.py
+++ b/knapweedrail/platform/pages.py
@@ -1,10 +1,10 @@
-"""JSON of the platform's store, of which single objects may not be readable.
+"""Parses JSON pages of the store in which single objects may be invalid.
 
-What goes wrong without it: one object among hundreds holds bytes that aren't UTF-8, a
-NaN, or lists within lists a thousand deep. The parser rejects the whole page, the store
-counts as away at every relay, and no runner that starts or leaves is heard of any more.
-Here the page is taken apart by a parser that bears errors, and only that object can't
-be read.
+One object among hundreds may contain bytes that aren't UTF-8, a NaN, or lists nested a
+thousand deep. A strict parser rejects the whole page; the store then counts as
+unavailable at every relay, and relays no longer learn of runners that start or leave.
+So such a page is parsed again by an error-tolerant parser, and only the invalid object
+is unreadable.
 """
 
 from __future__ import annotations
@@ -19,15 +19,16 @@
 
 _SPLIT_LISTS = frozenset({"entries", "events"})
 _SPLIT_OBJECTS = frozenset({"", "object"})
-"""Keys of what is taken apart; the items of a list, and the whole, have none. Other
-values are read whole or not at all: half an object could pass for a sound one."""
+"""Keys of the lists and objects that are parsed part by part; the empty key stands for
+the page itself and for the items of a list. Any other value is read completely or not
+at all, since a partly read object could pass for a valid one."""
 
 
 def parse_page(content: bytes) -> Any:
-    """Parse a body of the store; what can't be read in it is `Unreadable`.
+    """Parse a response body of the store; invalid parts become `Unreadable`.
 
     Raises:
-        ValueError: If it isn't the store's form of a page or an object.
+        ValueError: If the body as a whole isn't a page or an object.
     """
     with contextlib.suppress(ValueError):
         return orjson.loads(content)
@@ -37,7 +38,7 @@
 
 
 def _mask_unreadable(value: Any, key: str) -> Any:
-    """Return a page without the objects that hold a number which is none."""
+    """Return a page in which parts that aren't valid JSON are `Unreadable`."""
     if isinstance(value, list) and key in _SPLIT_LISTS:
         return [_mask_unreadable(item, "") for item in value]
     if isinstance(value, dict) and key in _SPLIT_OBJECTS:
@@ -47,8 +48,8 @@
 
 def _is_valid_json(value: Any) -> bool:
     try:
-        # NaN, the infinities and lone surrogates are no JSON; the standard library
-        # reads them all the same.
+        # NaN, the infinities and lone surrogates aren't valid JSON, but the standard
+        # library accepts them.
         json.dumps(value, allow_nan=False)
         orjson.dumps(value)
     except (ValueError, TypeError):
@@ -57,12 +58,12 @@
 
 
 def _parse_tolerantly(content: bytes) -> Any:
-    """Parse a page by its syntax tree, which bears any depth and single errors.
+    """Parse a page from its syntax tree, which allows any depth and local errors.
 
     Raises:
-        ValueError: If the page itself is broken.
+        ValueError: If the page itself is invalid.
     """
-    # Not imported before it is needed, which is hardly ever.
+    # Imported on demand, since invalid pages are rare.
     import tree_sitter
     import tree_sitter_json
 
@@ -83,11 +84,15 @@
 
 
 def _list_children(node: Any) -> list[Any]:
-    """Return the parts of a value, none of which is a place that can't be parsed."""
+    """Return the children of a node.
+
+    Raises:
+        ValueError: If there are none, or if one of them is a syntax error.
+    """
     if not node.named_children:
-        raise ValueError("nothing there")
+        raise ValueError("empty JSON document or value")
     if any(part.is_error or part.is_missing for part in node.children):
-        raise ValueError(f"no JSON at byte {node.start_byte}")
+        raise ValueError(f"invalid JSON after byte {node.start_byte}")
     return list(node.named_children)
 
 
--- a/knapweedrail/platform/relays.py
+++ b/knapweedrail/platform/relays.py
@@ -1,4 +1,4 @@
-"""A relay wired to the platform."""
+"""Creates relays that use the platform's store and formats."""
 
 from __future__ import annotations
 
@@ -28,8 +28,9 @@
     """Return a relay that isn't started yet.
 
     Args:
-        listener: Listens on the callers' address.
-        count_left_out: Returns the log lines left out so far.
+        settings: Settings of the process.
+        listener: Socket that listens on the address for callers.
+        count_dropped: Returns the number of log lines dropped so far.
     """
     measures = RelayMeasures()
     malformed = MalformedObjects(measures.count_malformed)
@@ -51,7 +52,7 @@
 def make_followers(
     settings: RelaySettings, store: Store, malformed: MalformedObjects
 ) -> tuple[ConfigurationFollower, RunnerFollower]:
-    """Return what follows the configuration, and what follows the list of runners."""
+    """Return the watchers of the configuration and of the list of runners."""
     reach = StoreReach(store, MEMBER_KIND, settings.host)
     configuration = ConfigurationFollower(
         store,
--- a/knapweedrail/platform/requests.py
+++ b/knapweedrail/platform/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests and runners' answers: headers to types, and back."""
+"""Encodes and decodes the headers of callers' requests and runners' answers."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from .start_times import decode_start_time
 
 MAX_PROMPT_PARTS = 64
-"""Parts of a prompt that are read; the rest can't matter to where it is sent."""
+"""Largest number of prompt parts that are read; further ones don't affect routing."""
 
 
 class PlatformCodec(Codec):
-    """Headers as the platform's callers and runners write them.
+    """Codec for the headers of the platform's callers and runners.
 
     Args:
         read_clock: Returns the time of day, Unix seconds.
@@ -115,7 +115,7 @@
     ) -> RunnerAnswer:
         found = {name.lower(): value for name, value in headers}
         dropped = names.HOP_BY_HOP_HEADERS | _list_connection_headers(headers)
-        unread = found.keys() - dropped - names.KNOWN_ANSWER_HEADERS
+        unknown = found.keys() - dropped - names.KNOWN_ANSWER_HEADERS
         running, waiting, slots = _parse_load(found.get(names.LOAD))
         identity = found.get(names.REQUEST_ID)
         runner = found.get(names.RUNNER_ID)
@@ -136,7 +136,7 @@
             limit=_parse_limit(
                 found.get(names.LIMIT, found.get(names.UNPREFIXED_LIMIT))
             ),
-            unread=tuple(sorted(name.decode("latin-1") for name in unread)),
+            unread=tuple(sorted(name.decode("latin-1") for name in unknown)),
         )
 
     def encode_report_request(
@@ -153,7 +153,7 @@
             started = decode_start_time(report, self._read_clock())
             return RunnerReport(require_integer(report[names.REPORT_MEMORY]), started)
         except (KeyError, TypeError, ValueError):
-            # Another kind of runner answers this path in its own way.
+            # A runner of another kind may answer this path in its own format.
             return None
 
     def encode_refusal(
@@ -181,17 +181,17 @@
         names.MODEL,
     }
 )
-"""Headers of which only one value makes sense. Two of them could be read one way
-here and another way by the runner."""
+"""Headers that may have only one value. Of two values, the relay might use one and the
+runner the other."""
 
 _REPLACED = frozenset({names.DEADLINE, names.KEY})
 
 
 def _list_connection_headers(headers: list[tuple[bytes, bytes]]) -> frozenset[bytes]:
-    """Return the headers that a ``Connection`` header names as its own.
+    """Return the headers that a ``Connection`` header declares as hop-by-hop.
 
-    A caller could name the headers that the relay depends on, such as the request's
-    identity; those stay.
+    A caller could list headers on which the relay depends, such as the request's id;
+    those are kept.
     """
     listed = set()
     for name, value in headers:
--- a/knapweedrail/platform/start_times.py
+++ b/knapweedrail/platform/start_times.py
@@ -1,4 +1,4 @@
-"""When a runner started, as it says itself; this tells its lives apart."""
+"""Decodes a runner's reported start time, which identifies its incarnation."""
 
 from __future__ import annotations
 
@@ -11,29 +11,30 @@
 MS_PER_SECOND = 1000
 
 MAX_SKEW_SECONDS = 30.0
-"""How far ahead of this host's clock a start may be. Clocks are close to each other and
-jump by seconds; several times that, so that a host whose own clock is off doesn't take
-every runner for a foreign entry and serve nobody. A start that is further ahead was
-written by something else, and no true life of that runner would be newer."""
+"""How far ahead of this host's clock a start time may be. Clocks are closely
+synchronised and jump by seconds. The limit is several times that, so that a host whose
+own clock is wrong doesn't reject every runner's entry as foreign and serve nobody. A
+start time further ahead was written by something else; if it were accepted, no real
+incarnation of that runner would be newer."""
 
 
 def decode_start_time(spec: dict[str, Any], now: float) -> int:
-    """Return the start of a runner's life, Unix milliseconds.
+    """Return the start time of a runner's incarnation, Unix milliseconds.
 
-    Clusters whose runners don't tell it are served as well: such a life counts as
-    older than all that are told.
+    Runners that don't report a start time are supported as well: such an incarnation
+    counts as older than any with a start time.
 
     Args:
-        spec: All that the runner says of itself.
-        now: Unix seconds.
+        spec: The runner's entry or report.
+        now: Time of day, Unix seconds.
 
     Raises:
-        TypeError: If it isn't a whole number.
-        ValueError: If no runner can have started then.
+        TypeError: If the start time isn't an integer.
+        ValueError: If the start time isn't plausible.
     """
     if names.STARTED not in spec:
         return UNKNOWN_START
     started = require_integer(spec[names.STARTED])
     if not UNKNOWN_START < started <= (now + MAX_SKEW_SECONDS) * MS_PER_SECOND:
-        raise ValueError(f"no runner started at {started!r:.50}")
+        raise ValueError(f"implausible start time of a runner: {started!r:.50}")
     return started
--- a/knapweedrail/platform/store.py
+++ b/knapweedrail/platform/store.py
@@ -27,14 +27,14 @@
 from .pages import parse_page
 
 WATCH_GRACE_SECONDS = 0.3
-"""How much later than its own end a waiting watch may be answered."""
+"""How much later than its own wait time a watch may be answered."""
 
 ALLOW_STALE = {"allowStale": "1"}
-"""Asks for data that may be seconds old, at a tenth of the price."""
+"""Query that accepts data some seconds old, at a tenth of the cost."""
 
 
 class PlatformStore(Store):
-    """The platform's store.
+    """Client of the platform's store over HTTP.
 
     Args:
         address: ``host:port``.
@@ -60,12 +60,13 @@
             try:
                 objects.extend(_decode_objects(page["entries"]))
                 if revision is None:
-                    # Of the first page: what changed there since, no later one shows.
+                    # The revision of the first page counts: later pages don't show
+                    # what has changed since in the objects of the first one.
                     revision = int(page["asOf"])
                 if not page.get("morePages"):
                     return Listing(tuple(objects), revision)
                 if query.get("after") == objects[-1].name:
-                    return self._unavailable("list", "a page that names no object")
+                    return self._unavailable("list", "page without any named object")
                 query = base_query | {"after": objects[-1].name}
             except _DECODE_ERRORS as error:
                 return self._unavailable("list", error)
@@ -109,7 +110,7 @@
         return await self._write("replace", "PUT", f"/objects/{kind}/{name}", body)
 
     async def delete(self, kind: str, name: str) -> WriteOutcome:
-        # Of a removal only the status says something: there is no object to decode.
+        # The answer to a deletion has a status only, and no object to decode.
         try:
             async with self._borrow_client() as client:
                 answer = await client.delete(f"/objects/{kind}/{name}")
@@ -128,11 +129,14 @@
         query: dict[str, str],
         seconds: float,
     ) -> dict[str, Any] | int | httpx.HTTPError | ValueError:
-        """Return the page read, the status of another answer, or what went wrong.
+        """Return the parsed page, the status of an answer other than 200, or the error.
 
         Args:
-            seconds: Longest wait for each part of the answer. The whole of it has no
-                limit: over a small link a large one would be given up each time.
+            step: Name of the call.
+            path: Path of the request.
+            query: Query parameters of the request.
+            seconds: Longest wait for each part of the answer. The answer as a whole has
+                no limit, since a large one would time out each time over a slow link.
         """
         try:
             async with self._borrow_client() as client:
@@ -180,10 +184,10 @@
 
     @contextlib.asynccontextmanager
     async def _borrow_client(self) -> AsyncIterator[httpx.AsyncClient]:
-        """Lend the client for one call, and replace it if an answer is overdue.
+        """Provide the client for one call, and replace it after a timeout.
 
-        Its other connections may be as silent as that one, and each would cost the
-        next call as long a wait.
+        Its other connections may be as unresponsive as that one, and each would delay
+        the next call by another timeout.
         """
         client = self._client
         try:
@@ -200,11 +204,12 @@
 
 
 _DECODE_ERRORS = (AttributeError, IndexError, KeyError, TypeError, ValueError)
-"""What an answer raises that isn't the store's; nothing is known of it then."""
+"""Errors while decoding an answer that doesn't have the store's format; such an answer
+says nothing about the outcome of the call."""
 
 
 def _decode_objects(items: list[dict[str, Any]]) -> Iterator[StoredObject]:
-    """Yield the objects of a page; one without a name tells of nothing."""
+    """Yield the objects of a page; malformed ones, as without a name, are skipped."""
     for item in items:
         with _skip_malformed(item):
             yield _decode_object(item)
@@ -227,5 +232,5 @@
 def _decode_object(item: dict[str, Any]) -> StoredObject:
     meta = item["metadata"]
     if not isinstance(meta["name"], str):
-        raise TypeError(f"a name that is {meta['name']!r:.50}")
+        raise TypeError(f"object name is not a string: {meta['name']!r:.50}")
     return StoredObject(meta["name"], int(meta["revision"]), item.get("spec"))
