--- a/knapweedrail/relay/__init__.py
+++ b/knapweedrail/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relay of callers' own HTTP requests to runners, within prepaid token budgets."""
+"""Forwards callers' HTTP requests to runners, within prepaid token budgets."""
--- a/knapweedrail/relay/closings.py
+++ b/knapweedrail/relay/closings.py
@@ -1,4 +1,4 @@
-"""A stop of the process, as the requests meet it."""
+"""Admission and cancellation of requests while the process shuts down."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 
 
 class Closing:
-    """Says which requests are still taken, and ends what runs too long.
+    """Decides which requests are still admitted, and cancels those that run too long.
 
     Args:
-        rng: Source of the times to come back.
+        rng: Randomises the retry times given in refusals.
 
     Attributes:
-        shut: Whether connections are being closed. What is read meanwhile and passed
-            on would run without its caller hearing of it.
-        answer_times: How long answers take.
+        closing_connections: Whether callers' connections are being closed. A request
+            that is read from one now must not run, since its caller wouldn't get the
+            answer.
+        answer_durations: How long answers take, by route.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -38,11 +39,11 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the process ends; every answer then ends its connection."""
+        """Whether a shutdown is in progress; each answer then closes its connection."""
         return self._shutdown is not None
 
     def begin(self, shutdown: Shutdown) -> None:
-        """Take only what can be answered before the end, and end the rest then."""
+        """Begin to drain: requests in progress are cancelled when answers are due."""
         self._shutdown = shutdown
         for scope in self._scopes:
             scope.deadline = shutdown.answers_due_at
@@ -50,10 +51,12 @@
     def judge(
         self, request: CallerRequest, route: Route, now: float, ends_at: float
     ) -> Refusal | None:
-        """Return why a request that is here now isn't taken, if it isn't.
+        """Return the refusal of a request that has arrived, or None if it is admitted.
 
         Args:
-            ends_at: When it has its final answer in any case.
+            now: The present time, by the monotonic clock, seconds.
+            ends_at: When the request has its final answer at the latest, by the same
+                clock.
         """
         shutdown = self._shutdown
         if shutdown is None:
@@ -74,10 +77,10 @@
 
     @contextlib.contextmanager
     def until_end(self) -> Iterator[anyio.CancelScope]:
-        """Bound what runs within by the end of this process, if it is to stop.
+        """Cancel what runs in this context when a shutdown's answers are due.
 
-        What goes wrong without an end of its own: the server closes the connection of
-        a request that has no answer yet, and its caller can't tell whether it has run.
+        Without this bound the server closes the connection of a request that has no
+        answer yet, and its caller can't tell whether the request has run.
         """
         until = self._shutdown.answers_due_at if self._shutdown else float("inf")
         with anyio.CancelScope(deadline=until) as scope:
@@ -89,7 +92,7 @@
 
 
 def took_its_time(outcome: Answered | Broken | Refusal | None) -> bool:
-    """Return whether an outcome came as late as answers come, or later."""
+    """Return whether an outcome's duration is a sample of how long answers take."""
     match outcome:
         case Answered(status):
             return status < 300
--- a/knapweedrail/relay/daemons.py
+++ b/knapweedrail/relay/daemons.py
@@ -1,4 +1,4 @@
-"""The kernel of a relay process: starts, wires and closes its tasks."""
+"""A relay process: creates, connects, starts and shuts down its components."""
 
 from __future__ import annotations
 
@@ -38,58 +38,62 @@
 from .suspects import Suspects
 
 VANISHED_GRACE_SECONDS = 1.9
-"""How long a runner whose entry vanished may still be used when no other is listed:
-entries that lapsed with the store are back within about two seconds."""
+"""Time for which a runner whose entry vanished may still be used when no other is
+listed. Entries that lapsed during a store outage are back within about two seconds."""
 
 FIRST_CONFIGURATION_SECONDS = 0.5
-"""How long a relay that starts keeps callers waiting for its first configuration: a
-hundred answers of the store. After that the store is away, and callers are told so."""
+"""Longest time for which a starting relay keeps callers waiting for its first
+configuration: about a hundred response times of the store. After that the store counts
+as unavailable and callers get a refusal that says so."""
 
 PRUNE_SECONDS = 1.0
-"""Pause between looks for idle connections and runners to forget."""
+"""Interval at which idle connections and vanished runners are pruned."""
 
 SEND_DELAY_SECONDS = 0.05
-"""Pause before a message about a crash; the requests of one crash end together."""
+"""Delay before suspects and limits are sent to other relays. The requests that one
+crash ends fail almost together, so they are reported in one message."""
 
 LIMIT_FANOUT = 4
-"""Relays told of a runner's limit by each one that hears of it: some steps reach nearly
-all of hundreds. A relay that is missed hears it from the runner."""
+"""Relays to which a relay forwards a runner's limit that is new to it. With this
+fan-out the gossip reaches nearly all of several hundred relays in a few rounds; a relay
+that it misses learns the limit from the runner."""
 
 OUT_OF_ROTATION_SECONDS = 2.2
-"""How long a stopping relay takes requests at least: the balancer asks once a second
-and takes a host out after two misses."""
+"""Shortest time for which a relay accepts requests after it was asked to shut down: the
+load balancer checks once a second and removes a host after two failed checks."""
 
 QUIET_SECONDS = 1.0
-"""Time without a new request after which the balancer seems to send none any more. It
-goes on sending when most hosts of a data centre are out, and a closed door then costs
-each caller an attempt."""
+"""Time without a new request after which the load balancer is taken to have stopped
+sending. It keeps sending to removed hosts while most hosts of a data centre are out of
+rotation, and a closed listener then costs each caller an attempt."""
 
 STREAM_RESERVE_SECONDS = 3.0
-"""Kept of the time to stop for requests under way; an answer seldom takes longer."""
+"""Part of the grace period reserved for finishing requests; answers seldom take
+longer."""
 
 MIN_ACCEPT_SHARE = 0.7
-"""Part of a short time to stop for which callers find the door open all the same."""
+"""Share of a short grace period during which new connections are still accepted."""
 
 POLL_SECONDS = 0.1
-"""Pause between looks whether requests still come."""
+"""Interval at which a relay that shuts down checks for new requests."""
 
 FLUSH_SECONDS = 0.1
-"""Time for final answers that are given when the time is over to go out."""
+"""Time allowed for sending the last answers and closing connections."""
 
 
 class Relay:
     """One relay process.
 
     Args:
-        settings: Its settings.
-        listener: Listens on the callers' address.
+        settings: Settings of the process.
+        listener: Socket that listens on the address for callers.
         store: Client of the platform's store.
-        configuration: Follower of the configuration.
-        runners: Follower of the list of runners.
-        codec: Translates headers.
+        configuration: Watches the operator's configuration in the store.
+        runners: Watches the list of runners in the store.
+        codec: Encodes and decodes the platform's headers.
         measures: Metrics of the process.
-        malformed: Told of objects in the store that can't be used.
-        count_left_out: Returns the log lines left out so far.
+        malformed: Records objects in the store that can't be used.
+        count_dropped: Returns the number of log lines dropped so far.
     """
 
     def __init__(
@@ -187,7 +191,7 @@
         )
 
     async def start(self, group: anyio.abc.TaskGroup) -> None:
-        """Start all tasks in ``group``."""
+        """Start the servers and all tasks in ``group``."""
         await self._ready_server.start(group)
         await self._peer_server.start()
         if self._metrics_server is not None:
@@ -208,9 +212,9 @@
             self._successors,
         ):
             await task.start(group)
-        # Callers that came meanwhile wait in the listener's queue. After a loss of all
-        # hosts that is everybody, and each of them would be refused for want of a
-        # configuration that is there a moment later.
+        # Connections that arrive meanwhile wait in the listener's backlog. After an
+        # outage of all hosts every caller is among them, and without this wait each
+        # would be refused because of a configuration that arrives a moment later.
         with anyio.move_on_after(FIRST_CONFIGURATION_SECONDS):
             await self._configuration.known.wait()
         await self._caller_server.start(group)
@@ -219,13 +223,14 @@
         group.start_soon(self._tell_waiting)
 
     async def close(self, requested_at: float) -> None:
-        """Stop in good order, within the time that the settings give.
+        """Shut down gracefully within the grace period of the settings.
 
-        The balancer is told first, and what it still sends is served; then answers
-        under way end, and what is left of the tokens goes back.
+        The readiness check fails first, and requests that the load balancer still sends
+        are served. Then the answers in progress finish and unused tokens are returned.
 
         Args:
-            asked_at: When the process was told to stop.
+            requested_at: When the process was asked to shut down, by the monotonic
+                clock, seconds.
         """
         shutdown = Shutdown(requested_at, self._settings.stop_seconds)
         self._gateway.closing.begin(shutdown)
@@ -243,7 +248,7 @@
         await self._membership.close()
         await self._holdings.close()
         await self._successors.close()
-        # Together, as each server waits a moment for connections that are kept open.
+        # Concurrently, since each server waits a moment for its keep-alive connections.
         async with anyio.create_task_group() as group:
             for server in (self._ready_server, self._metrics_server):
                 if server is not None:
@@ -277,9 +282,10 @@
         }
 
     def _count_runners(self) -> dict[str, float]:
-        """Return the number of runners by endpoint, of those in the configuration.
+        """Return the number of listed runners by endpoint.
 
-        Entries of other writers name endpoints of any number, a series for each.
+        Only endpoints of the configuration count. Entries by foreign writers may name
+        any number of endpoints, and each would add a time series.
         """
         configuration = self._configuration.configuration
         endpoints = configuration.endpoints if configuration else {}
@@ -292,7 +298,7 @@
         return read_per_account(accounts, self._holdings.read_available)
 
     async def _wait_until_quiet(self, shutdown: Shutdown) -> None:
-        """Keep the door open for what the balancer still sends."""
+        """Accept requests until the load balancer has stopped sending them."""
         max_seconds = max(
             shutdown.seconds - STREAM_RESERVE_SECONDS,
             MIN_ACCEPT_SHARE * shutdown.seconds,
@@ -317,10 +323,10 @@
                 await self._measures.prepare_export()
 
     async def _tell_waiting(self) -> None:
-        """Tell other relays of suspects, those of one crash at a time, and of limits.
+        """Send pending suspects and limits to other relays, one batch at a time.
 
-        It waits to be woken, as looks at a clock's pace are a part of what an idle
-        relay costs.
+        Suspects of one crash go out in one message. The task waits to be notified,
+        since polling would use processor time on an idle relay.
         """
         while True:
             if not (self._told or self._limits):
@@ -344,7 +350,7 @@
         self._told_more.give()
 
     def _receive_limits(self, limits: list[LimitNews]) -> None:
-        """Take in runners' limits, and pass on what wasn't known here."""
+        """Apply limits of runners, and forward those that were new to this relay."""
         for news in limits:
             if self._runners.table.hear_limit(news, time.monotonic()):
                 self._queue_limit(news)
@@ -359,9 +365,9 @@
         )
 
     async def _answer_ready(self, scope: dict, receive: object, send: object) -> None:
-        known = self._configuration.table is not None
+        configured = self._configuration.table is not None
         out_of_rotation = self._pressure.is_out(time.monotonic())
-        ready = known and not out_of_rotation and not self._gateway.closing.begun
+        ready = configured and not out_of_rotation and not self._gateway.closing.begun
         status = 200 if ready else 503
         await send(
             {
--- a/knapweedrail/relay/logs.py
+++ b/knapweedrail/relay/logs.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output: bounded in number and length, and never waited for."""
+"""Non-blocking log writer that bounds the rate and the length of lines."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from ..events import Event
 
 LINES_PER_SECOND = 200
-"""Most lines of a second: some ten for each of the requests that one relay sees in a
-heavy second. A line takes 0.02 ms (mean of 20,000 lines of an answered request): with
-the kept ones 0.6 % of a core."""
+"""Largest number of lines per second: about ten for each request that one relay handles
+in a busy second. A line takes 0.02 ms (mean of 20,000 lines of an answered request), so
+that together with the priority lines logging uses 0.6 % of a core."""
 
 PRIORITY_LINES_PER_SECOND = 100
-"""Further lines of a second for what is needed most to explain a failure."""
+"""Additional lines per second for the events needed most to explain a failure."""
 
 PRIORITY_EVENTS = frozenset(
     {
@@ -34,16 +34,16 @@
         Event.GRANT_SETTLED,
     }
 )
-"""Events that go on being written when others are left out."""
+"""Events that are still written when others are dropped."""
 
 MAX_LINE_BYTES = 2000
-"""Longest line; what is longer is cut and says so."""
+"""Longest line; a longer one is truncated and marked as such."""
 
 MAX_QUEUED_LINES = 2000
-"""Lines that wait for a reader that is slow: 4 MB at the most."""
+"""Lines queued for a slow reader: at most 4 MB."""
 
 CLOSE_SECONDS = 0.3
-"""How long an ending process waits for a slow reader."""
+"""Time for which an exiting process waits for a slow reader."""
 
 _OMITTED_FIELDS = ("task_uuid", "task_level")
 _PRIORITY_TYPES = frozenset(
@@ -52,14 +52,17 @@
 
 
 class LogWriter:
-    """Destination of `eliot` messages.
+    """Destination of `eliot` messages that never blocks the process.
 
-    What goes wrong without it: a reader that has stopped reading fills the pipe, the
-    next line blocks the process, and all its callers wait. Here a thread of its own
-    writes, and lines beyond the bounds are left out and counted.
+    If the process wrote to the pipe itself and the reader stopped reading, the pipe
+    would fill, the next line would block the process, and all its callers would wait.
+    So a separate thread writes, and lines beyond the bounds are dropped and counted.
 
     Args:
-        stream: Where lines go.
+        stream: Where lines are written.
+
+    Attributes:
+        dropped: Number of lines dropped so far.
     """
 
     def __init__(self, stream: BinaryIO) -> None:
@@ -72,11 +75,11 @@
         self.left_out = 0
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the writer thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Write what waits, as far as a reader takes it in time."""
+        """Write the queued lines, as far as the reader accepts them in time."""
         self._report_dropped()
         try:
             self._queue.put_nowait(None)
@@ -85,7 +88,7 @@
         self._thread.join(CLOSE_SECONDS)
 
     def __call__(self, message: dict) -> None:
-        """Take one message; never blocks."""
+        """Queue one message, or drop it; never blocks."""
         second = int(time.monotonic())
         if second != self._second:
             self._second, self._lines = second, 0
@@ -101,7 +104,7 @@
             self._enqueue(kind, message)
 
     def _report_dropped(self) -> None:
-        """Say how many lines were left out."""
+        """Log how many lines were dropped, by message type."""
         if not self._dropped_by_type:
             return
         counts = dict(self._dropped_by_type)
@@ -134,5 +137,5 @@
                     self._stream.flush()
             self._stream.flush()
         except OSError:
-            # The reader is gone. There is nowhere left to say so.
+            # The reader is gone, so the error can't be logged either.
             return
--- a/knapweedrail/relay/measures.py
+++ b/knapweedrail/relay/measures.py
@@ -1,4 +1,4 @@
-"""Metrics of a relay, and a store that counts its calls."""
+"""Metrics of a relay, and a store client that counts its calls."""
 
 from __future__ import annotations
 
@@ -17,23 +17,26 @@
 from .stores import Store
 
 GAP_BOUNDS = [0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2, 5]
-"""Longest pause of a stream, seconds; callers aim at a quarter of a second."""
+"""Histogram bounds of a stream's longest pause, seconds. The callers' objective is
+0.25 s."""
 
 DELAY_BOUNDS = [0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1]
-"""Seconds by which the event loop is late; each adds to every answer under way."""
+"""Histogram bounds of the event loop's delay, seconds. A delay of the loop delays every
+answer in progress."""
 
 MAX_ACCOUNTS = 50
-"""Accounts with a series of their own; an operator with more asks the ledger."""
+"""Accounts that get a time series of their own. An operator with more accounts reads
+the ledger."""
 
 LATE_LOG_THRESHOLD_SECONDS = 0.1
-"""Delay of the event loop from which on a line says so: a fifth of the shortest
-objective of callers, and every answer under way was late by it."""
+"""Delay of the event loop that is logged: a fifth of the callers' shortest objective.
+Every answer in progress was delayed by it."""
 
 LATE_LOG_INTERVAL_SECONDS = 1.0
-"""Pause between two such lines."""
+"""Shortest interval between two log lines about the event loop's delay."""
 
 CALLS_LOG_INTERVAL_SECONDS = 10.0
-"""Pause between two lines on the calls to the store."""
+"""Interval of log lines about the calls to the store."""
 
 
 class RelayMeasures(Measures):
@@ -42,13 +45,13 @@
     Attributes:
         refusals: Refusals by kind.
         attempts: Attempts at runners by endpoint and outcome.
-        repeats: Attempts after the first, by endpoint, and whether the retry share
-            had one left.
+        repeats: Attempts after the first, by endpoint and by whether the retry budget
+            allowed them.
         gaps: Longest pause of each stream, seconds, by route.
         store_calls: Calls to the store by step, kind and outcome.
-        malformed: Objects of the store that couldn't be used, by kind, each change
-            of one counted once.
-        delays: Seconds by which the event loop was late.
+        malformed: Objects of the store that couldn't be used, by kind; each revision of
+            an object is counted once.
+        delays: Delay of the event loop, seconds.
     """
 
     def __init__(self) -> None:
@@ -72,17 +75,21 @@
         self.malformed.add(1, {"kind": kind})
 
     async def prepare_export(self) -> None:
-        """Let the exporter take over, if it hasn't yet.
+        """Import the exporter and hand the metrics over to it, if not done yet.
 
-        Its import in a thread of its own leaves the event loop its turns; in the loop
-        every answer under way would stand still for a tenth of a second.
+        The import runs in a thread, so that the event loop keeps running. In the loop
+        it would block every answer in progress for a tenth of a second.
         """
         if not self.exporting:
             await anyio.to_thread.run_sync(import_exporter)
             self.export()
 
     async def watch_delay(self, pressure: Pressure) -> None:
-        """Measure the event loop's delay until cancelled."""
+        """Measure, record and log the event loop's delay until cancelled.
+
+        Args:
+            pressure: Gets each measured delay.
+        """
         logged_at = float("-inf")
         while True:
             due = time.monotonic() + TICK_SECONDS
@@ -123,16 +130,16 @@
 def read_per_account(
     accounts: dict[str, Account], read: Callable[[str], float]
 ) -> dict[str, float]:
-    """Return a figure of each account, of the first `MOST_ACCOUNTS`."""
+    """Return ``read(name)`` for each of the first `MAX_ACCOUNTS` accounts, by name."""
     return {name: read(name) for name in sorted(accounts)[:MAX_ACCOUNTS]}
 
 
 class InstrumentedStore(Store):
-    """A store whose calls are counted by step, kind and outcome.
+    """A store that counts its calls by step, kind and outcome.
 
     Args:
-        store: The store that is called.
-        measures: Where calls are counted.
+        store: The store to which calls are delegated.
+        measures: Metrics in which calls are counted.
     """
 
     def __init__(self, store: Store, measures: RelayMeasures) -> None:
@@ -164,13 +171,13 @@
         return await self._count_call("delete", kind, self._store.delete(kind, name))
 
     async def report_calls(self) -> None:
-        """Write a line now and then on the calls that were begun, until cancelled."""
+        """Log the counts of calls at regular intervals until cancelled."""
         while True:
             await anyio.sleep(CALLS_LOG_INTERVAL_SECONDS)
             self.log_call_counts()
 
     def log_call_counts(self) -> None:
-        """Write a line on the calls that were begun since the last one."""
+        """Log the calls started since the last such line, by step and kind."""
         if self._started:
             log_event(Event.STORE_CALLS, calls=dict(self._started))
             self._started.clear()
--- a/knapweedrail/relay/models.py
+++ b/knapweedrail/relay/models.py
@@ -1,4 +1,4 @@
-"""What a relay knows: its configuration, the runners, and a caller's request."""
+"""Data types of a relay: configuration, runners, requests and answers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class Repetition(enum.Enum):
-    """What may be sent again of a route's requests."""
+    """Which requests of a route may be sent again.
+
+    ``SAFE`` requests may always be repeated, ``ONCE`` requests run at most once, and a
+    ``STREAM`` may be repeated if its route is resumable.
+    """
 
     SAFE = "safe"
     ONCE = "once"
@@ -17,7 +21,7 @@
 
 @attrs.frozen
 class Share:
-    """Part of a route's requests that goes to one endpoint."""
+    """Weight of one endpoint in a route's traffic split."""
 
     endpoint: str
     weight: float
@@ -25,20 +29,20 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """A host name and path prefix, and how its requests are handled.
+    """A host name and path prefix, and how their requests are handled.
 
     Attributes:
         host: Host name, in lower case.
         prefix: Path prefix; begins and ends with a slash.
-        repetition: What may be repeated.
+        retry_policy: Which requests may be sent again.
         timeout: Longest time that a caller is kept waiting, seconds.
-        objective: Time to the first byte that callers aim at, seconds.
-        gap: Longest pause between events that callers aim at, seconds.
+        objective: Callers' objective for the time to the first byte, seconds.
+        gap: Callers' objective for the longest pause between events, seconds.
         rank: Urgency; 0 is the most urgent.
         shares: Endpoints and the weight of each.
-        max_runners: Most runners that one request may be sent to.
-        needs_key: Whether the caller must show an API key.
-        resumable: Whether a stream may go on at another runner.
+        max_runners: Largest number of runners to which one request may be sent.
+        needs_key: Whether the caller must send an API key.
+        resumable: Whether a stream may be resumed at another runner.
     """
 
     name: str
@@ -64,13 +68,13 @@
 
 @attrs.frozen(kw_only=True)
 class Endpoint:
-    """A service behind the relay.
+    """A group of runners that serve the same work.
 
     Attributes:
-        health_path: Path that tells a runner's health.
-        max_connections: Connections a runner bears from all callers together.
-        cache_tokens: Tokens a runner's memory holds; 0 for a plain service.
-        tokens_per_event: Tokens that one event of a stream may hold, at most.
+        health_path: Path of a runner's health check.
+        max_connections: Connections that a runner accepts from all callers together.
+        cache_tokens: Tokens that fit into a runner's cache; 0 for a plain service.
+        tokens_per_event: Largest number of tokens in one event of a stream.
     """
 
     name: str
@@ -86,8 +90,8 @@
 
     Attributes:
         keys: API keys.
-        rank: Urgency that goes before the route's; ``None`` leaves the route's.
-        prepaid: Tokens it may use in all; ``None`` is without limit.
+        rank: Urgency that overrides the route's; ``None`` uses the route's.
+        prepaid: Total number of tokens that it may use; ``None`` for no limit.
     """
 
     name: str
@@ -98,7 +102,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallerLimits:
-    """Bounds on what a caller may send; sizes in bytes, times in seconds."""
+    """Limits on callers' requests and connections; sizes in bytes, times in seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -118,26 +122,26 @@
 
 
 class RunnerState(enum.Enum):
-    """What a runner says of itself in the platform's store."""
+    """State that a runner reports in the platform's store."""
 
     READY = "ready"
     LEAVING = "leaving"
 
 
 UNKNOWN_START = 0
-"""Start of a life whose runner doesn't tell it; it counts as before all others."""
+"""Start time of an incarnation whose runner reports none; it counts as the oldest."""
 
 
 @attrs.frozen(cache_hash=True)
 class RunnerLife:
-    """What tells one life of a runner from all others.
+    """Identifies one incarnation of a runner.
 
-    A runner may start again under the name that it had, and then holds and knows
-    nothing of before. What was seen of one life says nothing of the next.
+    A runner may restart under the same name and then has none of its former state, so
+    observations of one incarnation don't apply to the next.
 
     Attributes:
-        name: Kept or changed by a restart.
-        started: When it started, Unix milliseconds by the runner's clock.
+        name: Name of the runner; a restart may keep or change it.
+        started: Start time, Unix milliseconds by the runner's clock.
     """
 
     name: str
@@ -149,13 +153,13 @@
 
 @attrs.frozen(kw_only=True)
 class Runner:
-    """One life of a runner, as listed in the platform's store.
+    """One incarnation of a runner, as listed in the platform's store.
 
     Attributes:
-        name: Unique among the runners of one moment.
-        address: ``host:port``; may be taken over by another runner later.
-        slots: Requests it works on at once.
-        started: When this life started, Unix milliseconds.
+        name: Unique among the runners listed at one time.
+        address: ``host:port``; another runner may reuse it later.
+        slots: Requests that it processes concurrently.
+        started: Start time of this incarnation, Unix milliseconds.
     """
 
     name: str
@@ -168,13 +172,13 @@
 
     @property
     def life(self) -> RunnerLife:
-        """What tells this life from others under the same name."""
+        """Identifies this incarnation among those of the same name."""
         return RunnerLife(self.name, self.started)
 
 
 @attrs.frozen
 class PromptPart:
-    """A part of a prompt that requests may share, named by its content."""
+    """A part of a prompt that requests may share, identified by its content."""
 
     name: str
     tokens: int
@@ -185,13 +189,14 @@
     """A caller's request, decoded.
 
     Attributes:
-        identity: The caller's name for this attempt.
+        identity: Request id that the caller chose for this attempt.
         target: Path and query as sent.
-        headers: Headers to pass on, without those that the relay sets.
-        deadline: Seconds that the caller will wait; ``None`` if it didn't say.
+        headers: Headers to forward, without those that the relay sets.
+        deadline: Seconds for which the caller waits; ``None`` if not given.
         prompt_tokens: Prompt tokens; 0 for a plain call.
-        most_output: Most output tokens; 0 for a plain call.
-        last_event: Number of the last event that the caller has, if it resumes.
+        max_output_tokens: Largest number of output tokens; 0 for a plain call.
+        last_event: Number of the last event that the caller has received, if it
+            resumes a stream.
     """
 
     identity: str
@@ -209,16 +214,16 @@
 
     @property
     def most_tokens(self) -> int:
-        """Tokens that the request may use, at most."""
+        """Largest number of tokens that the request may use."""
         return self.prompt_tokens + self.most_output
 
 
 @attrs.frozen
 class Malformed:
-    """A request that can't be understood.
+    """A request that can't be decoded.
 
     Attributes:
-        reason: What is wrong with it.
+        reason: What is wrong with it; part of the refusal that the caller gets.
     """
 
     reason: str
@@ -229,18 +234,18 @@
     """Status line and headers of a runner's answer, decoded.
 
     Attributes:
-        identity: The request it answers; ``None`` if it doesn't say.
-        sealed: Whether it bears the runner's seal.
-        not_run: Whether the runner says that it didn't run the request.
-        running, waiting, slots: The runner's load; ``None`` if it doesn't say.
-        event_stream: Whether its body is a series of events.
-        headers: Headers to pass on to the caller.
-        idle_seconds: How long the runner keeps an idle connection; ``None`` if it
-            doesn't say.
-        runner: Name of the runner that answers; ``None`` if it doesn't say.
-        limit: Requests a second that the runner takes from all relays together;
-            ``None`` if it names no limit.
-        unread: Names of headers whose meaning isn't known.
+        identity: Id of the answered request; ``None`` if not given.
+        sealed: Whether the answer has the runner's seal header.
+        not_run: Whether the runner reports that it didn't run the request.
+        running, waiting, slots: The runner's load; ``None`` if not given.
+        event_stream: Whether its body is an event stream.
+        headers: Headers to forward to the caller.
+        idle_seconds: How long the runner keeps an idle connection open; ``None`` if not
+            given.
+        runner: Name of the runner that answers; ``None`` if not given.
+        limit: Requests per second that the runner accepts from all relays together;
+            ``None`` if it gives no limit.
+        unknown_headers: Names of headers whose meaning isn't known.
     """
 
     status: int
@@ -260,11 +265,11 @@
 
 @attrs.frozen
 class RunnerReport:
-    """What a runner says of itself when it is asked.
+    """A runner's answer to a request for its report.
 
     Attributes:
-        cache_tokens: Tokens that its memory holds; 0 if it is no engine.
-        started: When its life started, Unix milliseconds.
+        cache_tokens: Tokens that fit into its cache; 0 if it isn't an engine.
+        started: Start time of its incarnation, Unix milliseconds.
     """
 
     cache_tokens: int
@@ -273,13 +278,13 @@
 
 @attrs.frozen
 class Member:
-    """A relay that takes part.
+    """A relay that is a member of the fleet.
 
     Attributes:
         host: Name of its host.
-        holder: Its present life.
-        address: Where it answers other relays; empty if it doesn't.
-        data_centre: Where its host stands.
+        holder: Identifies its present incarnation as a holder of tokens.
+        address: ``host:port`` of its server for other relays; empty if it has none.
+        data_centre: Data centre of its host.
     """
 
     host: str
--- a/knapweedrail/relay/options.py
+++ b/knapweedrail/relay/options.py
@@ -1,7 +1,7 @@
-"""Process settings of a relay: the table of defaults.
+"""Settings of a relay process and their defaults.
 
-A file of these settings is made from a template by whatever starts the process;
-docs/CONFIGURATION.md lists the table.
+The settings file is made from a template by whatever starts the process;
+docs/CONFIGURATION.md lists all settings.
 """
 
 from __future__ import annotations
@@ -12,39 +12,41 @@
 from ..shapes import NAME
 
 MARGIN_SECONDS = 0.75
-"""Kept off every bound for the answer's way and a busy process."""
+"""Safety margin of each bound, for network latency and a busy process."""
 
 CATCH_UP_SECONDS = 0.8
-"""Kept of the time until a relay is in touch again: for the answer to a watch that has
-ended, and where it is overdue for a pause and the calls that catch up."""
+"""Part of the time until a relay has reconnected to the store that is reserved for the
+answer to a watch that has ended or, if that answer is overdue, for a pause and the
+calls that catch up."""
 
 MIN_WATCH_SECONDS = 1.0
-"""Shortest wait of a watch. Where bounds leave less, as with less than 1.8 s to be in
-touch again, they aren't met after an outage."""
+"""Shortest wait of a watch. Settings that leave less time, such as less than 1.8 s to
+reconnect, aren't met after an outage."""
 
 MAX_AGE_SLACK_SECONDS = 0.2
-"""How much later than that a configuration may be confirmed, before a key or route that
-it doesn't know may be one of a newer version."""
+"""Added to the longest regular time between two confirmations. A configuration that
+wasn't confirmed for longer may be outdated, so a key or route that it doesn't contain
+may belong to a newer version."""
 
 HEARTBEAT_SHARE = 0.25
-"""Part of the shortest time in which a change must be obeyed that passes between two
-readings of what other relays know."""
+"""Heartbeat interval between relays, as a share of the shortest time in which a change
+must take effect."""
 
 MAX_MISSED_HEARTBEATS = 2
-"""Readings without an answer after which another relay's word counts no more. What is
-left of the bound is enough to ask the store."""
+"""Unanswered heartbeats after which another relay is no longer used as a source of
+updates. The time left until the change must take effect is enough to ask the store."""
 
 BATCH_SHARE = 0.25
-"""Part of the time in which a change must be obeyed that a relay waits after one before
-it asks for the next ones. While the runners of an endpoint are replaced one after the
-other, or configurations come in quick succession, each change would cost a call of
-every relay."""
+"""Pause after a change before the next changes are requested, as a share of the time in
+which a change must take effect. Without it, each change would cost a call of every
+relay while the runners of an endpoint are replaced one after the other or
+configurations follow each other quickly."""
 
 MAX_MILLISECONDS = 3_600_000
 
 
 def milliseconds(reason: str, default: int) -> object:
-    """Declare a time in whole milliseconds."""
+    """Declare a setting that is a time in whole milliseconds."""
     return count("milliseconds", reason, default, 0, MAX_MILLISECONDS)
 
 
@@ -94,29 +96,33 @@
 
     @property
     def configuration_watch_seconds(self) -> float:
-        """Longest wait of a watch on the configuration.
+        """Longest wait of a watch on the configuration, seconds.
 
-        A watch that the store has lost is noticed at its end, and the store must have
-        answered the next one within `contact`: from then on the bounds hold again, also
-        for what was acknowledged in the meantime.
+        A watch that the store has lost is noticed when it ends, and the store must have
+        answered the next one within `contact_milliseconds`. From then on the bounds
+        hold again, also for changes that were acknowledged in the meantime.
         """
         seconds = self.contact_milliseconds / 1000 - CATCH_UP_SECONDS
         return max(MIN_WATCH_SECONDS, seconds - self.beat_seconds)
 
     @property
     def configuration_limit_seconds(self) -> float:
-        """Age up to which a configuration counts as confirmed: it is by each watch, of
-        this relay or of one that tells it."""
+        """Age up to which a configuration counts as confirmed, seconds.
+
+        Each watch confirms it, by this relay or by a relay that sends updates to this
+        one.
+        """
         watch = self.configuration_watch_seconds + self.beat_seconds
         return watch + CATCH_UP_SECONDS + MAX_AGE_SLACK_SECONDS
 
     @property
     def runner_watch_seconds(self) -> float:
-        """Longest wait of a watch on the list of runners.
+        """Longest wait of a watch on the list of runners, seconds.
 
-        It is given up sooner when the watch on the configuration finds that the store
-        was away. A runner's leaving counts only if the store was well for `contact`, so
-        a single watch that is lost must be noticed by the end of both times.
+        The watch is cancelled sooner when the watch on the configuration finds that the
+        store was unavailable. The bound on leaving runners applies only once the store
+        has been available for `contact_milliseconds`, so a single lost watch must be
+        noticed by the end of both times.
         """
         bound = self.contact_milliseconds + self.leaving_milliseconds
         seconds = bound / 1000 - MARGIN_SECONDS - self.beat_seconds
@@ -124,29 +130,29 @@
 
     @property
     def runner_limit_seconds(self) -> float:
-        """Age up to which the list of runners counts as confirmed."""
+        """Age up to which the list of runners counts as confirmed, seconds."""
         watch = self.runner_watch_seconds + self.beat_seconds
         return watch + CATCH_UP_SECONDS + MAX_AGE_SLACK_SECONDS
 
     @property
     def beat_seconds(self) -> float:
-        """Time between two readings of what other relays know of the store."""
+        """Interval of heartbeats to a relay that sends updates, seconds."""
         bound = min(self.configuration_milliseconds, self.leaving_milliseconds)
         return HEARTBEAT_SHARE * bound / 1000
 
     @property
     def silence_seconds(self) -> float:
-        """Time after which a relay that doesn't answer readings is given up."""
+        """Time without an answer to heartbeats after which a relay is given up."""
         return MAX_MISSED_HEARTBEATS * self.beat_seconds
 
     @property
     def configuration_batch_seconds(self) -> float:
-        """Pause after a new configuration before the next is asked for."""
+        """Pause after a configuration before the next is requested, seconds."""
         return BATCH_SHARE * self.configuration_milliseconds / 1000
 
     @property
     def runner_batch_seconds(self) -> float:
-        """Pause after a change of the list of runners before the next is asked for."""
+        """Pause after a change of the runners before the next request, seconds."""
         return BATCH_SHARE * self.leaving_milliseconds / 1000
 
 
--- a/knapweedrail/relay/shutdowns.py
+++ b/knapweedrail/relay/shutdowns.py
@@ -1,9 +1,10 @@
-"""Decision: which requests a relay that stops still takes.
+"""Decides which requests a relay still admits while it shuts down.
 
-Pure: times are passed in. Whoever stops a process kills it after a given time, and an
-answer that isn't complete by then is lost: its caller has half a stream, or doesn't
-know whether a call has run. A request that is refused at once is served by another
-host. So what decides is whether the answer fits into the time that is left.
+Pure: times are passed in. A process that was asked to shut down is killed after its
+grace period, and an answer that isn't complete by then is lost: its caller has half a
+stream, or doesn't know whether a call has run. A request that is refused at once is
+served by another host. So a request is admitted if its answer fits into the time that
+is left.
 """
 
 from __future__ import annotations
@@ -14,35 +15,36 @@
 import attrs
 
 RESERVED_SECONDS = 1.3
-"""Most that is kept of the time to stop for giving tokens back and closing what is
-left; a process that is still there when the time is over is killed, and its last log
-lines with it. Closing was seen to take 0.3 s, giving back may wait for the store."""
+"""Longest part of the grace period that is reserved for returning tokens and closing
+connections. A process that is still running when the period is over is killed, and its
+last log lines are lost. Closing was measured at 0.3 s; returning tokens may have to
+wait for the store."""
 
 RESERVED_SHARE = 1 / 7
-"""And the most in parts of the time to stop: of three seconds, 1.3 would be kept from
-answers that could still end."""
+"""Largest share of the grace period that is reserved. Of a period of three seconds,
+reserving 1.3 s would cut off answers that could still finish."""
 
 RELEASE_SHARE = 0.4
-"""Part of what is kept for the end in which tokens go back. Half of it was too much on
-a host with half a core, which was killed before its process had ended."""
+"""Share of the reserved time in which tokens are returned. Half of it was too much on a
+host with half a core: the process was killed before it had ended."""
 
 ADMISSION_WINDOW_SECONDS = 2.5
-"""How long after the signal requests are taken whose own limit doesn't fit. The
-balancer takes 2.2 s to notice; whoever is sent here later has other hosts. Half a
-second less than the three that callers are granted, for a signal that is noticed
-late."""
+"""Time after the signal during which a request is admitted although its own limit
+doesn't fit. The load balancer takes 2.2 s to notice the shutdown; callers that arrive
+later have other hosts. Callers are promised three seconds; the window is half a second
+shorter because the signal may be noticed late."""
 
 MIN_ESTIMATE_SECONDS = 3.0
-"""What an answer is thought to take at least on a route of which few have ended here:
-right after a start the slow ones are those that haven't ended yet."""
+"""Least estimate of an answer's duration on a route with few samples: right after a
+start the slow answers are those that haven't finished yet."""
 
 MIN_SAMPLES = 16
-"""Answers from which on a route is judged by them alone: of so many, one is slower than
-nineteen in twenty."""
+"""Samples from which on a route's estimate rests on them alone: the slowest of that
+many is about the 95th percentile."""
 
 MAX_SAMPLES = 64
-"""Answers by which a route is judged: at a few requests a second and host, the last
-half minute; one in sixty is slower than all of them."""
+"""Samples kept for each route. At a few requests per second and host they cover the
+last half minute; about one answer in sixty is slower than all of them."""
 
 
 @attrs.define
@@ -54,35 +56,41 @@
 
 
 class AnswerDurations:
-    """How long answers take, by route."""
+    """Tracks how long answers take, by route."""
 
     def __init__(self) -> None:
         self._routes: dict[str, _RouteDurations] = {}
         self._numbers = itertools.count()
 
     def begin(self, route: str, now: float) -> int:
-        """Take in that an answer is under way; return its number."""
+        """Record that an answer is in progress; return its number."""
         number = next(self._numbers)
         self._routes.setdefault(route, _RouteDurations()).running[number] = now
         return number
 
     def end(self, route: str, number: int, now: float, is_sample: bool) -> None:
-        """Take in that it isn't any more.
+        """Record that an answer is no longer in progress.
 
         Args:
-            counts: Whether it took as long as answers take; a quick failure says
-                nothing of that.
+            route: Name of its route.
+            number: The number that `begin` returned.
+            now: The present time, by the clock given to `begin`, seconds.
+            is_sample: Whether its duration is typical of answers; that of a quick
+                failure isn't.
         """
         began_at = self._routes[route].running.pop(number)
         if is_sample:
             self.record(route, now - began_at)
 
     def record(self, route: str, seconds: float) -> None:
-        """Take in an answer that has ended."""
+        """Record the duration of an answer that has finished, seconds."""
         self._routes.setdefault(route, _RouteDurations()).finished.append(seconds)
 
     def find_slowest(self, route: str, now: float) -> float:
-        """Return the longest of the last answers and of those under way, seconds."""
+        """Return the longest duration of recent and current answers, seconds.
+
+        An answer in progress counts with its present age.
+        """
         durations = self._routes.get(route, _RouteDurations())
         slowest = max(durations.finished, default=0.0)
         if len(durations.finished) < MIN_SAMPLES:
@@ -93,15 +101,16 @@
 
 @attrs.frozen
 class Shutdown:
-    """One stop, from the signal to the end.
+    """Time budget of one shutdown, from the signal until the process is killed.
 
-    The load it is for: hosts are stopped in turn, faster than they come back. Most of a
-    data centre is out of rotation, and the balancer then sends callers to all of its
-    hosts, also to those that have seconds left.
+    It is made for rolling restarts that are faster than hosts come back: most of a data
+    centre is out of rotation, and the load balancer then sends callers to all of its
+    hosts, also to those that have only seconds left.
 
     Attributes:
-        asked_at: When the process was told to stop.
-        seconds: Time from then until it is killed.
+        requested_at: When the process was asked to shut down, by the monotonic clock,
+            seconds.
+        seconds: Grace period: time from then until the process is killed.
     """
 
     requested_at: float
@@ -109,27 +118,29 @@
 
     @property
     def answers_due_at(self) -> float:
-        """When the last answers must have ended."""
+        """When the last answers must have finished."""
         reserved = min(RESERVED_SECONDS, RESERVED_SHARE * self.seconds)
         return self.requested_at + self.seconds - reserved
 
     @property
     def tokens_due_at(self) -> float:
-        """When tokens must have gone back, so that the rest can be closed."""
+        """When tokens must have been returned, so that the rest can be closed."""
         reserved = self.requested_at + self.seconds - self.answers_due_at
         return self.answers_due_at + RELEASE_SHARE * reserved
 
     def admits(self, now: float, limit: float, slowest: float) -> bool:
-        """Return whether a request that is here now should run.
+        """Return whether a request that has arrived should run.
 
-        A request whose own limit ends in time is safe whatever its runner does, and is
-        taken to the last. Of the others, only what comes early and fits as well if it
-        takes as long as the slowest of its kind.
+        A request whose own limit fits into the time left is safe whatever its runner
+        does, and is always admitted. Any other request is admitted only within the
+        admission window, and only if it fits even when it takes as long as the slowest
+        recent answer on its route.
 
         Args:
-            limit: Time after which the request has its final answer in any case, its
-                caller's or its route's, seconds.
-            slowest: What the slowest of the last answers on its route took, seconds.
+            now: The present time, by the clock of `requested_at`, seconds.
+            limit: Time after which the request has its final answer in any case, from
+                its caller's deadline or its route's timeout, seconds.
+            slowest: Duration of the slowest recent answer on its route, seconds.
         """
         left = self.answers_due_at - now
         if limit <= left:
--- a/knapweedrail/relay/signals.py
+++ b/knapweedrail/relay/signals.py
@@ -1,4 +1,4 @@
-"""Signals between tasks."""
+"""Notification between tasks of one event loop."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class Signal:
-    """Wakes all who wait, each time that it is given."""
+    """Repeatable event: each notification wakes all tasks that wait at that moment."""
 
     def __init__(self) -> None:
         self._event = anyio.Event()
 
     def give(self) -> None:
-        """Wake all who wait now."""
+        """Wake all tasks that wait now."""
         self._event.set()
         self._event = anyio.Event()
 
     async def wait(self) -> None:
-        """Wait until it is given next."""
+        """Wait for the next notification."""
         await self._event.wait()
