--- a/knapweedrail/tests/test_events.py
+++ b/knapweedrail/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogue of events and its page say the same."""
+"""The event catalogue matches its page in the documentation."""
 
 import pathlib
 import re
--- a/knapweedrail/tests/test_platform_requests.py
+++ b/knapweedrail/tests/test_platform_requests.py
@@ -1,4 +1,4 @@
-"""Headers between callers, the relay and runners."""
+"""Encoding and decoding of headers between callers, the relay and runners."""
 
 import pytest
 
@@ -45,8 +45,8 @@
 
 @pytest.mark.parametrize("name", sorted(names.RESERVED_HEADERS))
 def test_caller_cannot_set_reserved_headers(name):
-    """A caller names another account, or the memory of another caller's run, in a
-    header that runners believe."""
+    """A caller sends another account, or the cache of another caller's run, in a header
+    that runners trust."""
     odd = name.decode().upper().encode()
     request = decode((odd, b"forged"), (name.title(), b"again"))
     sent = CODEC.encode_request(request, make_runner("i-1"), "farm", 1, 2, 0, None)
@@ -95,8 +95,8 @@
     ],
 )
 def test_conflicting_duplicate_headers_are_malformed(headers):
-    """One reader takes the first of two values, another the last; a request hidden in
-    the difference would be run for nobody's account."""
+    """Guards against request smuggling: one parser uses the first of two values and
+    another the last, so a hidden request could run without an account."""
     assert isinstance(decode(*headers), Malformed)
 
 
@@ -130,7 +130,7 @@
 
 
 def test_unknown_answer_headers_are_listed():
-    """Guards against a runner's word that is passed on and heeded by nobody."""
+    """Guards against a new header of runners that is forwarded but handled nowhere."""
     headers = [(b"X-New", b"1"), (b"Content-Type", b"text/plain"), (b"Date", b"now")]
     headers += [(b"Knapweedrail-Server-Load", b"1,2,3"), (b"Keep-Alive", b"timeout=5")]
     assert PlatformCodec().decode_answer(200, headers).unread == ("x-new",)
--- a/knapweedrail/tests/test_platform_store.py
+++ b/knapweedrail/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, before a stand-in that speaks its protocol."""
+"""The client of the platform's store, tested with a stand-in server."""
 
 import contextlib
 
@@ -96,8 +96,8 @@
 
 
 async def test_runner_list_recovers_from_outage_and_lost_history():
-    """The store goes away; meanwhile a runner leaves and another comes, and the history
-    that would tell is dropped. Requests would go to a runner that is gone."""
+    """During a store outage one runner leaves, another is added, and the history of
+    these changes is dropped. Requests would be sent to a runner that is gone."""
     async with run_store() as (objects, client):
         table = RunnerTable(doubt=1.9)
         follower = RunnerFollower(client, "servers", 0.2, decode_runner, table)
@@ -120,8 +120,8 @@
 
 
 async def test_tokens_are_granted_once_despite_lost_answers():
-    """Each write's answer is lost for a while. A relay that counted the tokens of each
-    try would hold them twice."""
+    """The answers to some writes are lost. A relay that counted the tokens of each
+    attempt would hold them twice."""
     configuration = make_configuration(make_route(Repetition.SAFE), prepaid=1000)
     account = Account(name="farm", keys=(), prepaid=1000)
     async with run_store() as (objects, client):
@@ -204,7 +204,7 @@
     first, second = found.routes
     assert first.repeatable and first.host == "a.example"
     assert [share.weight for share in first.shares] == [90, 10]
-    # What isn't known to be repeatable is run once at most.
+    # Requests of an unknown kind run at most once.
     assert second.repetition is Repetition.ONCE
     assert found.endpoints["s1"].tokens_per_event == 4
     assert found.accounts["t"].prepaid == 5
@@ -250,8 +250,8 @@
 
 @pytest.mark.parametrize("item", [7, {}, {"metadata": {"name": 7, "revision": 1}}])
 async def test_object_without_name_is_skipped(item, monkeypatch):
-    """Taken for an error, it would end the task that follows the kind, or make the
-    store count as away for as long as it is there."""
+    """If such an object were an error, it would end the task that watches the kind, or
+    make the store count as unavailable for as long as the object exists."""
     sound = {"metadata": {"name": "a", "revision": 5}, "spec": 1}
     async with run_store() as (_, client):
         pages = [
--- a/knapweedrail/tests/test_relay_door.py
+++ b/knapweedrail/tests/test_relay_door.py
@@ -1,4 +1,4 @@
-"""Raw bytes at the callers' door: what two readers read differently, and floods."""
+"""Raw HTTP requests to the caller server: ambiguous framing, smuggling and floods."""
 
 import contextlib
 import time
@@ -40,7 +40,11 @@
 
 
 async def send_raw(host, port, data, seconds=1.0):
-    """Send bytes and return all that comes until the end, or until nothing comes."""
+    """Send bytes and return all that is received until the connection is closed.
+
+    Raises:
+        TimeoutError: If nothing is received for that many seconds.
+    """
     got = b""
     async with await anyio.connect_tcp(host, port) as stream:
         with contextlib.suppress(anyio.BrokenResourceError, anyio.EndOfStream):
@@ -62,9 +66,9 @@
 
 
 async def test_content_length_with_chunked_encoding_is_refused_immediately():
-    """One reader goes by the length, another by the chunks. What one takes for the
-    body's end, the other takes for the next request, of nobody's account. A caller
-    that sent both by mistake must not wait until it gives up."""
+    """Guards against request smuggling. If the relay framed the body by its length and
+    the runner by its chunks, the rest of the body would run as another request without
+    an account. A caller that sends both by mistake must not wait for its timeout."""
     async with run_server() as (runner, host, port):
         data = HEAD + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
         got = await send_raw(host, port, data + b"0\r\n\r\n" + SMUGGLED + b"\r\n")
@@ -86,7 +90,7 @@
     ],
 )
 async def test_ambiguous_body_length_is_refused(lines):
-    """Nobody can say where such a request ends, so nothing of it may run."""
+    """The end of such a request is undefined, so no part of it may run."""
     async with run_server() as (runner, host, port):
         got = await send_raw(host, port, HEAD + lines)
     assert got.split(b" ")[1] in (b"400", b"501")
@@ -94,8 +98,8 @@
 
 
 async def test_request_embedded_in_body_is_forwarded_as_body():
-    """A body holds the bytes of a whole request. A relay that passed its bytes on
-    without their length would make the runner run it."""
+    """A body contains the bytes of a complete request. If the relay forwarded it
+    without its length, the runner would run that request."""
     smuggled = SMUGGLED + b"Content-Length: 0\r\n\r\n"
     async with run_server() as (runner, host, port):
         data = HEAD + b"Content-Length: %d\r\n\r\n" % len(smuggled) + smuggled
@@ -123,7 +127,8 @@
 
 
 async def test_endless_headers_are_refused():
-    """A caller sends header lines for ever. Kept, they would fill the memory."""
+    """A caller sends header lines without end. Buffering them would exhaust the
+    memory."""
     async with run_server() as (runner, host, port):
         lines = b"".join(b"X-%d: 1\r\n" % number for number in range(20_000))
         got = await send_raw(host, port, HEAD + lines + b"\r\n")
@@ -151,9 +156,9 @@
 
 
 async def test_draining_relay_refuses_requests_it_may_not_finish():
-    """A relay is told to stop, and a caller with an open connection sends a long plan
-    four seconds later. The relay's time was over in the middle of the answer, and the
-    caller saw it broken off."""
+    """A caller with an open connection sends a request four seconds after the relay was
+    asked to shut down. It was admitted, the grace period ended during its answer, and
+    the caller got an incomplete answer."""
     runner = ScriptedRunner(answer_well)
     route = make_route(Repetition.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
@@ -169,9 +174,9 @@
 
 
 async def test_request_arriving_while_connections_close_does_not_run():
-    """A relay closes its callers' connections at the end of a stop, and one of them
-    sends a slot confirmation at that moment. Passed on, the slot would be confirmed and
-    its caller would never hear of it; it tries again, and two gangs come."""
+    """A caller sends a request while the relay closes connections at the end of a
+    shutdown. If it were forwarded, it would run without an answer to the caller, whose
+    retry would run it a second time."""
     runner = ScriptedRunner(answer_well)
     route = make_route(Repetition.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
@@ -183,8 +188,8 @@
 
 
 async def test_incomplete_body_is_refused_with_deadline():
-    """A caller's link is so slow that its request isn't in when its time is over. Told
-    that the host stops, whoever looks for the cause looks at the wrong place."""
+    """A caller's link is so slow that its request is incomplete at its deadline. A
+    refusal that named a shutdown would mislead whoever looks for the cause."""
     async with run_server() as (runner, host, port):
         head = HEAD.replace(b"3000", b"300") + b"Content-Length: 9\r\n\r\nhalf"
         got = await send_raw_until_idle(host, port, head)
--- a/knapweedrail/tests/test_relay_logs.py
+++ b/knapweedrail/tests/test_relay_logs.py
@@ -1,4 +1,4 @@
-"""Log lines never hold up a process, and are bounded."""
+"""Log lines never block the process and are bounded in rate and length."""
 
 import os
 import time
@@ -39,8 +39,8 @@
 
 
 def test_stalled_log_reader_does_not_block():
-    """Whoever collects the logs hangs, and the pipe fills. Every caller would wait for
-    the line that says what became of it."""
+    """The log collector hangs and the pipe fills. If writing blocked, every caller
+    would wait for the log line of its request."""
     _, stream = open_pipe()
     logs = LogWriter(stream)
     logs.start()
@@ -53,7 +53,7 @@
 
 
 def test_excess_lines_are_counted_and_refusals_have_priority():
-    """Everything fails at once, and each failure has its lines."""
+    """Many failures at once produce more lines than are allowed per second."""
     reading, stream = open_pipe()
     logs = LogWriter(stream)
     logs.start()
@@ -70,7 +70,7 @@
         if line["message_type"] == format_type(Event.LINES_LEFT_OUT)
     ]
     left_out = sum(sum(line["counts"].values()) for line in reports)
-    # Two seconds of the clock may be touched, so up to twice the bound passes.
+    # The test may span two seconds of the clock, so up to twice the bound passes.
     assert (
         kinds.count(format_type(Event.RUNNER_LISTED)) + left_out
         == LINES_PER_SECOND + 50
--- a/knapweedrail/tests/test_relay_process.py
+++ b/knapweedrail/tests/test_relay_process.py
@@ -1,4 +1,4 @@
-"""A relay as a process of its own: start, work, metrics, logs and an orderly stop."""
+"""A relay as a separate process: startup, requests, metrics, logs and shutdown."""
 
 import contextlib
 import os
@@ -50,7 +50,7 @@
 
 STOP_SECONDS = 6
 STORE_DELAY_SECONDS = 0.3
-"""Less than a start waits for its first configuration."""
+"""Less than the time for which a start waits for its first configuration."""
 
 EVENTS = 30
 
@@ -66,7 +66,7 @@
 
 
 class RelayProcess:
-    """One process with its addresses and its log."""
+    """A relay process with its addresses and its log file."""
 
     def __init__(self, folder, store_address, changes=None):
         caller_port, ready, peer, metrics = find_free_ports(4)
@@ -157,7 +157,7 @@
 
 
 async def test_callers_wait_for_first_configuration_at_startup(tmp_path):
-    """Guards against callers who are refused at all hosts as these start together."""
+    """Guards against refusals of callers by all hosts when these start together."""
     headers = make_headers(1)
     del headers["knapweedrail-token-usage"]
     run = run_process(tmp_path, answer_well, delay=STORE_DELAY_SECONDS)
@@ -206,8 +206,8 @@
 async def test_shutdown_finishes_streams_and_returns_tokens(
     tmp_path,
 ):
-    """The host is asked to stop while a plan streams to its caller. A plan that breaks
-    off is a phone call that nobody is free to take."""
+    """The relay is asked to shut down while it streams an answer. The stream must be
+    completed, since its caller can't use part of an answer."""
     async with run_process(tmp_path, stream_slowly) as (objects, relay, client):
         got = []
 
@@ -226,7 +226,7 @@
             relay.process.send_signal(signal.SIGTERM)
             await anyio.sleep(0.3)
             assert (await client.get(relay.ready_url)).status_code == 503
-            # The balancer hasn't noticed yet, and sends one more caller.
+            # The load balancer hasn't noticed yet and sends another request.
             late = await client.post(f"{relay.url}/a/x", headers=make_headers(2))
             assert late.headers["connection"] == "close"
         with anyio.fail_after(STOP_SECONDS + 2):
@@ -244,9 +244,9 @@
 
 
 async def test_shutdown_with_open_connections_prints_only_log_lines(tmp_path):
-    """A call still hangs at its runner when the time to stop is over, and others keep
-    idle connections. Whoever stopped the process found a dozen tracebacks in its
-    output, and looked for a fault."""
+    """A call still hangs at its runner when the grace period ends, and other callers
+    keep idle connections. Each printed a traceback, which looked like a fault to the
+    operator."""
     async with run_process(tmp_path, hang) as (_, relay, _):
         port = int(relay.url.rpartition(":")[2])
         callers = [await anyio.connect_tcp("127.0.0.1", port) for _ in range(4)]
@@ -263,12 +263,12 @@
                 await anyio.sleep(0.05)
         for caller in callers:
             await caller.aclose()
-    # Each line is a log event; anything else can't be read as one.
+    # Every line must be a log event; reading anything else as JSON fails.
     lines = relay.read_log()
     assert lines[-1]["message_type"] == "103 router_stopped"
     assert relay.process.returncode == 0
-    # Whose request was cut off asks why: the log tells when it came, and what the
-    # relay thought that it had left.
+    # To explain an aborted request, the log contains when it arrived and how much time
+    # the relay had left.
     by_kind = {line["message_type"]: line for line in lines}
     assert 0 <= by_kind["102 router_stopping"]["noticed_after"] < 0.3
     taken = by_kind["607 request_taken_late"]
@@ -278,8 +278,8 @@
 
 
 async def test_tokens_of_killed_process_count_as_used(tmp_path):
-    """The process is killed. What it held may have been spent, so it counts as spent,
-    and the process that takes its place can't spend it again."""
+    """Tokens held by a killed process may have been used, so they count as used, and
+    the process that replaces it can't use them again."""
     async with run_process(tmp_path, answer_well) as (objects, relay, client):
         await client.post(f"{relay.url}/a/x", headers=make_headers(1))
         os.kill(relay.process.pid, signal.SIGKILL)
--- a/knapweedrail/tests/test_relay_shutdown.py
+++ b/knapweedrail/tests/test_relay_shutdown.py
@@ -1,11 +1,11 @@
-"""A relay that is asked to stop: what it still takes, and that nothing taken is lost.
-
-Hosts were stopped in turn, two seconds apart. Callers got half a stream: their requests
-had been taken three seconds and more after the host was asked to stop, and the process
-ended while their runners were at work. Whether a request was taken depended on the time
-since the stop was noticed, and not on whether its answer fits into the time that was
-left. The age at which the streams were cut off, the time to stop less what is kept for
-the end, showed that the stop had been noticed at once and that the limit was at fault.
+"""Shutdown of a relay process: which requests are admitted, and that none is lost.
+
+Guards against incomplete streams when hosts are restarted in turn, two seconds apart.
+Requests were admitted three seconds and more after the signal, and the process ended
+while their runners were still working. Admission depended on the time since the signal
+was noticed, and not on whether the answer fits into the time left. The streams were cut
+off when answers were due (the grace period less its reserve), so the signal had been
+noticed at once and the admission limit was wrong.
 """
 
 import signal
@@ -22,9 +22,9 @@
 
 
 def make_slow_stream(seconds):
-    """Return a runner's script: a stream of ten events over that time.
+    """Return a runner's script: a stream of ten events spread over that many seconds.
 
-    Its ``begun`` is set as the first request for a stream has come.
+    Its ``begun`` event is set once the first request for a stream has arrived.
     """
 
     async def stream_events(stream, head):
@@ -43,7 +43,7 @@
 
 
 async def request_stream(relay, number):
-    """Return the status and whether the answer came whole, as a caller sees it."""
+    """Return the status and whether the answer was complete, as a caller sees it."""
     got = b""
     try:
         async with httpx.AsyncClient(timeout=15) as client:
@@ -64,9 +64,9 @@
 
 
 async def test_request_that_may_outlast_process_is_refused(tmp_path):
-    """Plans take four seconds here, as the relay has seen. Two seconds after it was
-    asked to stop within six, a caller whose connection is open sends one more. Taken,
-    it breaks off in the middle; refused, another host answers it."""
+    """The relay has measured streams of four seconds. Two seconds into a grace period
+    of six, a caller with an open connection requests another one. If admitted, it would
+    be cut off; if refused, another host answers it."""
     async with run_process(tmp_path, make_slow_stream(4.0)) as (_, relay, _):
         assert await request_stream(relay, 1) == (200, True)
         relay.process.send_signal(signal.SIGTERM)
@@ -77,9 +77,9 @@
 
 
 async def test_grace_period_counts_from_signal(tmp_path):
-    """The process stands still for two fifths of a second just as it is asked to stop.
-    Whoever stops it counts from then. A plan sent three seconds and a bit after that
-    is taken for one of the first three seconds, and is cut off."""
+    """The process is paused for 0.4 s when the signal arrives, while the grace period
+    already runs. If time counted from when the process notices the signal, a request
+    sent 3.2 s after the signal would be admitted and cut off."""
     settings = {"stop_seconds": 8}
     script = make_slow_stream(4.2)
     async with run_process(tmp_path, script, settings) as (_, relay, _):
@@ -88,7 +88,7 @@
         relay.process.send_signal(signal.SIGTERM)
         await anyio.sleep(0.4)
         relay.process.send_signal(signal.SIGCONT)
-        # Callers still come, as most hosts of the data centre are out of rotation.
+        # Requests still arrive, as most hosts of the data centre are out of rotation.
         for number in range(10, 16):
             async with httpx.AsyncClient() as client:
                 headers = make_headers(number)
@@ -101,9 +101,9 @@
 
 
 async def test_short_grace_period_is_used_for_answers(tmp_path):
-    """The host has three seconds to stop. What is kept for the end was measured for
-    eight; taken from three, it leaves answers under half of the time, and a plan that
-    would have ended in two seconds and a bit is broken off."""
+    """The grace period is three seconds. The reserve for closing was measured for
+    eight; taken in full from three, it leaves answers less than half of the time, and a
+    stream of 2.2 s is cut off."""
     settings = {"stop_seconds": 3}
     script = make_slow_stream(2.2)
     async with run_process(tmp_path, script, settings) as (_, relay, _):
@@ -122,9 +122,9 @@
 
 @pytest.mark.parametrize("again", [signal.SIGTERM, signal.SIGHUP])
 async def test_second_signal_during_shutdown_is_ignored(tmp_path, again):
-    """Whoever stops the host asks twice, or its settings file changes meanwhile. The
-    second signal found no handler any more and killed the process: a plan broke off in
-    the middle, and the tokens that the relay held were lost."""
+    """A second stop signal, or a change of the settings file, arrives during shutdown.
+    The second signal had no handler any more and killed the process: a stream was cut
+    off, and the tokens that the relay held were lost."""
     script = make_slow_stream(2.0)
     async with run_process(tmp_path, script) as (objects, relay, _):
         outcomes = []
@@ -145,8 +145,8 @@
 
 
 async def test_unresponsive_store_does_not_delay_exit(tmp_path):
-    """The store takes connections and answers nothing while the host is stopped. A
-    process that waits for it is killed, and nothing tells how its stop went."""
+    """The store accepts connections but sends no answers during the shutdown. A process
+    that waits for it is killed, and the log doesn't show how the shutdown went."""
     settings = {"stop_seconds": 4}
     async with run_process(tmp_path, answer_well, settings) as (objects, relay, client):
         headers = make_headers(1)
--- a/knapweedrail/tests/test_relay_shutdown_limits.py
+++ b/knapweedrail/tests/test_relay_shutdown_limits.py
@@ -1,4 +1,4 @@
-"""Decisions of a relay that stops, without processes: what it takes, and until when."""
+"""Admission of requests during a shutdown, tested without separate processes."""
 
 import os
 import signal
@@ -36,8 +36,8 @@
 def test_admitted_request_finishes_before_answers_are_due(
     time_to_stop, after, limit, slowest, seconds
 ):
-    """Hosts are stopped in turn and callers come at any moment of it. None that is
-    taken, and isn't slower than all before it, may still run when its process ends."""
+    """Requests arrive at any time of a shutdown. One that is admitted, and isn't slower
+    than all before it, must finish before answers are due."""
     shutdown = Shutdown(100.0, time_to_stop)
     now = 100.0 + after
     if shutdown.admits(now, limit, slowest) and seconds <= slowest:
@@ -46,25 +46,25 @@
 
 @given(TIMES_TO_STOP)
 def test_answers_get_five_sixths_of_grace_period(time_to_stop):
-    """Callers are promised most of the time to stop, however short it is."""
+    """Answers get most of the grace period, however short it is."""
     shutdown = Shutdown(0.0, time_to_stop)
     assert 5 / 6 * time_to_stop < shutdown.answers_due_at < time_to_stop
     assert shutdown.answers_due_at < shutdown.tokens_due_at < time_to_stop
 
 
 def test_request_is_admitted_while_its_limit_fits():
-    """A slot confirmation has its answer within a second and a half whatever its
-    endpoint does. Refused all the same, its caller comes to the next host that
-    stops."""
+    """A request with a timeout of 1.5 s has its answer by then, whatever its endpoint
+    does. If it were refused all the same, its caller might reach the next host that
+    shuts down."""
     shutdown = Shutdown(0.0, 8.0)
     assert shutdown.admits(5.0, limit=1.5, slowest=0.1)
     assert not shutdown.admits(5.5, limit=1.5, slowest=0.1)
 
 
 def test_long_stream_is_admitted_only_in_admission_window():
-    """Questions may take fifteen seconds and seldom take two. Those that come when the
-    balancer has long been told are served by other hosts, and none of them is the one
-    that takes four."""
+    """Streams with a timeout of 15 s seldom take two seconds. Those that arrive long
+    after the load balancer could notice the shutdown are served by other hosts, since
+    one of them might be much slower."""
     shutdown = Shutdown(0.0, 8.0)
     assert shutdown.admits(ADMISSION_WINDOW_SECONDS, limit=15.0, slowest=2.0)
     assert not shutdown.admits(ADMISSION_WINDOW_SECONDS + 0.1, limit=15.0, slowest=2.0)
@@ -86,8 +86,8 @@
 
 
 def test_running_answer_counts_with_its_age():
-    """Engines have just become slow: nothing that ended tells of it yet, while streams
-    under way are older than any that has ended."""
+    """Engines have just become slow. No finished answer shows it yet, but streams in
+    progress are already older than any finished one."""
     durations = AnswerDurations()
     for _ in range(MAX_SAMPLES):
         durations.record("plans", 0.5)
@@ -100,8 +100,8 @@
 
 @pytest.mark.anyio
 async def test_signal_time_is_recorded_while_event_loop_is_blocked():
-    """The event loop has so much to do that it comes to a signal a third of a second
-    late. The process is killed at a time that counts from the signal."""
+    """A busy event loop handles a signal 0.3 s late, but the process is killed at a
+    time that counts from the signal."""
     clock = SignalClock()
     with anyio.open_signal_receiver(signal.SIGUSR1) as signals:
         clock.watch([signal.SIGUSR1])
@@ -117,8 +117,8 @@
 
 @pytest.mark.anyio
 async def test_incomplete_body_at_shutdown_is_refused():
-    """A caller's link is slow, and its request isn't in when the process ends. It found
-    an empty 500; told that nothing has run, it comes back at once, elsewhere."""
+    """A caller's link is slow, and its request is incomplete when answers are due. It
+    got an empty 500; told that nothing has run, it retries at once at another host."""
     runner = ScriptedRunner(hang)
     route = make_route(Repetition.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
@@ -140,9 +140,9 @@
 
 @pytest.mark.anyio
 async def test_hanging_call_at_shutdown_gets_outcome_unknown():
-    """An endpoint is silent, and the relay's time to stop is over. With its connection
-    just closed the caller can't tell whether the slot is confirmed; told that it isn't
-    known, it asks."""
+    """An endpoint doesn't answer, and the grace period ends. If the connection were
+    just closed, the caller couldn't tell whether the request has run; told that the
+    outcome is unknown, it can check."""
     runner = ScriptedRunner(hang)
     route = make_route(Repetition.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
--- a/knapweedrail/tests/test_relay_start.py
+++ b/knapweedrail/tests/test_relay_start.py
@@ -1,4 +1,4 @@
-"""The first moments of a relay's process."""
+"""Startup of a relay process."""
 
 import gc
 import json
@@ -41,9 +41,9 @@
 
 
 def test_listener_opens_before_heavy_libraries_are_imported():
-    """All hosts lose power and start again together. The libraries take half a second
-    to read, and until then each caller's connection was refused at every host: it lost
-    its attempt, and the one after it."""
+    """All hosts start together after a power outage. Importing the libraries takes half
+    a second; until then every host refused each caller's connection, so that callers
+    lost two attempts."""
     program = (
         "import sys; import knapweedrail.tools.relay;"
         f"print([name for name in {HEAVY!r} if name in sys.modules])"
@@ -55,9 +55,9 @@
 
 
 def test_startup_imports_no_unneeded_library():
-    """All hosts of the fleet start together after a loss of power. What each of them
-    reads for metrics that nobody has asked for, or for faults that its settings don't
-    have, is time in which callers wait."""
+    """All hosts start together after a power outage. Imports for metrics that nobody
+    has requested, or for reporting faults that the settings don't have, would make
+    callers wait longer."""
     program = (
         "import sys; import knapweedrail.tools.service;"
         f"print([name for name in {UNNEEDED!r} if name in sys.modules])"
@@ -69,8 +69,8 @@
 
 
 def test_listener_accepts_while_libraries_are_imported(tmp_path, monkeypatch):
-    """A caller connects while the process still reads its libraries. Its connection
-    waits, and the server answers on it as soon as it runs."""
+    """A caller connects while the process still imports its libraries. Its connection
+    stays in the backlog, and the server answers it as soon as it runs."""
     reached = []
 
     def run_relay(settings, listener, clock):
@@ -92,9 +92,9 @@
 
 
 def test_garbage_collection_is_enabled_while_relay_runs(tmp_path, monkeypatch):
-    """No garbage is looked for while the libraries are read. If it stayed so, a host
-    would fill its memory in hours and be killed; if the libraries weren't set aside,
-    all streams would pause for each look through them."""
+    """Garbage collection is disabled during imports. If it stayed disabled, a host
+    would run out of memory within hours and be killed; if the imported objects weren't
+    frozen, each collection would scan them and pause all streams."""
     seen = []
 
     def run_relay(settings, listener, clock):
@@ -113,8 +113,8 @@
 
 
 def test_occupied_port_is_reported(tmp_path, capsys):
-    """Two relays are started on one host by mistake. The second one ends at once and
-    names what is in its way."""
+    """A second relay is started on the same host by mistake. It exits at once with an
+    error message."""
     with socket.create_server(("127.0.0.1", 0)) as taken:
         address = f"127.0.0.1:{taken.getsockname()[1]}"
         settings = write_settings(tmp_path, address)
@@ -123,9 +123,9 @@
 
 
 def test_stop_signal_during_startup_exits_cleanly(tmp_path):
-    """A host is asked to stop right after its start, while its relay still reads its
-    libraries. The process ended by the signal, and whoever watches hosts was called
-    for a relay that had failed. Found by seed 403 of the soak."""
+    """A stop signal arrives while the relay still imports its libraries. The signal
+    killed the process, and monitoring reported a failed relay. Found by seed 403 of the
+    soak test."""
     settings = write_settings(tmp_path, "127.0.0.1:0")
     program = (
         "import os, signal, sys, types\n"
@@ -145,9 +145,8 @@
 
 
 def test_sighup_during_startup_does_not_end_process(tmp_path):
-    """A host starts, and its settings file changes at that moment, which a signal
-    tells. By default that signal ends a process: callers that waited found their
-    connections reset."""
+    """SIGHUP announces changed settings while the relay still starts. By default this
+    signal kills a process, and the connections of waiting callers were reset."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     settings = write_settings(tmp_path, f"127.0.0.1:{port}")
@@ -155,7 +154,7 @@
     process = Process("knapweedrail.tools.relay", *options, log=tmp_path / "log")
     process.start()
     try:
-        caller = wait_for(lambda: connect(port), "an open door")
+        caller = wait_for(lambda: connect(port), "an open listener")
         with caller:
             caller.sendall(b"GET /x HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
             process.signal(signal.SIGHUP)
@@ -168,10 +167,10 @@
 
 
 def test_stop_signal_during_startup_answers_queued_callers(tmp_path):
-    """A host starts, callers' requests wait in its queue while the relay reads its
-    libraries, and then it is asked to stop. The process ended at once, and callers
-    found their connections reset, without knowing whether their requests had run. Found
-    by seed 1111 of the soak."""
+    """A stop signal arrives while callers' requests wait in the backlog and the relay
+    imports its libraries. The process ended at once, the connections were reset, and
+    callers couldn't tell whether their requests had run. Found by seed 1111 of the soak
+    test."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     settings = write_settings(tmp_path, f"127.0.0.1:{port}")
@@ -179,7 +178,7 @@
     process = Process("knapweedrail.tools.relay", *options, log=tmp_path / "log")
     process.start()
     try:
-        caller = wait_for(lambda: connect(port), "an open door")
+        caller = wait_for(lambda: connect(port), "an open listener")
         with caller:
             caller.sendall(b"GET /x HTTP/1.1\r\nhost: x\r\n\r\n")
             process.signal(signal.SIGTERM)
@@ -189,7 +188,7 @@
         process.close()
     lines = map(json.loads, (tmp_path / "log").read_bytes().splitlines())
     stopping = [line for line in lines if "noticed_after" in line]
-    # Half a second of libraries lies in between: time runs from the signal.
+    # About half a second of imports lies in between, and time counts from the signal.
     assert stopping[0]["noticed_after"] > 0.05
     head, _, body = answer.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 503 ")
