--- a/knapweedrail/relay/closings.py
+++ b/knapweedrail/relay/closings.py
@@ -54,6 +54,8 @@
         """Return the refusal of a request that has arrived, or None if it is admitted.
 
         Args:
+            request: The request.
+            route: Its route.
             now: The present time, by the monotonic clock, seconds.
             ends_at: When the request has its final answer at the latest, by the same
                 clock.
@@ -92,7 +94,11 @@
 
 
 def took_its_time(outcome: Answered | Broken | Refusal | None) -> bool:
-    """Return whether an outcome's duration is a sample of how long answers take."""
+    """Return whether an outcome's duration is a sample of how long answers take.
+
+    That holds for successful answers, broken streams and refusals at the deadline, and
+    not for failures that came quickly.
+    """
     match outcome:
         case Answered(status):
             return status < 300
--- a/knapweedrail/relay/options.py
+++ b/knapweedrail/relay/options.py
@@ -20,8 +20,8 @@
 calls that catch up."""
 
 MIN_WATCH_SECONDS = 1.0
-"""Shortest wait of a watch. Settings that leave less time, such as less than 1.8 s to
-reconnect, aren't met after an outage."""
+"""Shortest wait of a watch. If the settings leave less time, such as less than 1.8 s to
+reconnect, their bounds aren't met after an outage."""
 
 MAX_AGE_SLACK_SECONDS = 0.2
 """Added to the longest regular time between two confirmations. A configuration that
--- a/knapweedrail/tests/test_relay_shutdown.py
+++ b/knapweedrail/tests/test_relay_shutdown.py
@@ -84,7 +84,7 @@
     script = make_slow_stream(4.2)
     async with run_process(tmp_path, script, settings) as (_, relay, _):
         relay.process.send_signal(signal.SIGSTOP)
-        asked_at = time.monotonic()
+        signalled_at = time.monotonic()
         relay.process.send_signal(signal.SIGTERM)
         await anyio.sleep(0.4)
         relay.process.send_signal(signal.SIGCONT)
@@ -93,8 +93,10 @@
             async with httpx.AsyncClient() as client:
                 headers = make_headers(number)
                 await client.post(f"{relay.url}/a/x", headers=headers)
-            await anyio.sleep(asked_at + 3.2 - (16 - number) * 0.4 - time.monotonic())
-        await anyio.sleep(asked_at + 3.2 - time.monotonic())
+            await anyio.sleep(
+                signalled_at + 3.2 - (16 - number) * 0.4 - time.monotonic()
+            )
+        await anyio.sleep(signalled_at + 3.2 - time.monotonic())
         status, _ = await request_stream(relay, 1)
         await wait_for_exit(relay, 8)
     assert status == 503
