--- /dev/null
+++ b/knapweedrail/platform/converters.py
@@ -0,0 +1,41 @@
+"""Strict converters of JSON values: each rejects values of another type."""
+
+from __future__ import annotations
+
+from typing import Any
+
+
+def require_string(value: Any, _: object = None) -> str:
+    """Return a string unchanged.
+
+    Raises:
+        TypeError: If the value isn't a string.
+    """
+    if not isinstance(value, str):
+        raise TypeError(f"{value!r:.50} isn't a string")
+    return value
+
+
+def require_number(value: Any, _: object = None) -> float:
+    """Return a number unchanged; booleans are rejected, though Python counts them.
+
+    Raises:
+        TypeError: If the value isn't a number.
+    """
+    if isinstance(value, bool) or not isinstance(value, (int, float)):
+        raise TypeError(f"{value!r:.50} isn't a number")
+    return value
+
+
+def require_integer(value: Any, _: object = None) -> int:
+    """Return an integer, also from a number with a decimal point such as ``5.0``.
+
+    JSON has a single number type, and some writers give every number a decimal point.
+
+    Raises:
+        TypeError: If the value isn't an integer.
+    """
+    number = require_number(value)
+    if isinstance(number, float) and not number.is_integer():
+        raise TypeError(f"{value!r:.50} isn't an integer")
+    return int(number)
--- a/knapweedrail/platform/pages.py
+++ b/knapweedrail/platform/pages.py
@@ -1,10 +1,10 @@
-"""JSON of the platform's store, of which single objects may not be readable.
+"""Parses JSON pages of the store in which single objects may be invalid.
 
-What goes wrong without it: one object among hundreds holds bytes that aren't UTF-8, a
-NaN, or lists within lists a thousand deep. The parser rejects the whole page, the store
-counts as away at every relay, and no runner that starts or leaves is heard of any more.
-Here the page is taken apart by a parser that bears errors, and only that object can't
-be read.
+One object among hundreds may contain bytes that aren't UTF-8, a NaN, or lists nested a
+thousand deep. A strict parser rejects the whole page; the store then counts as
+unavailable at every relay, and relays no longer learn of runners that start or leave.
+So such a page is parsed again by an error-tolerant parser, and only the invalid object
+is unreadable.
 """
 
 from __future__ import annotations
@@ -17,38 +17,39 @@
 
 from ..relay.stores import Unreadable
 
-_LISTS = frozenset({"entries", "events"})
-_OBJECTS = frozenset({"", "object"})
-"""Keys of what is taken apart; the items of a list, and the whole, have none. Other
-values are read whole or not at all: half an object could pass for a sound one."""
+_SPLIT_LISTS = frozenset({"entries", "events"})
+_SPLIT_OBJECTS = frozenset({"", "object"})
+"""Keys of the lists and objects that are parsed part by part; the empty key stands for
+the page itself and for the items of a list. Any other value is read completely or not
+at all, since a partly read object could pass for a valid one."""
 
 
 def parse_page(content: bytes) -> Any:
-    """Parse a body of the store; what can't be read in it is `Unreadable`.
+    """Parse a response body of the store; invalid parts become `Unreadable`.
 
     Raises:
-        ValueError: If it isn't the store's form of a page or an object.
+        ValueError: If the body as a whole isn't a page or an object.
     """
     with contextlib.suppress(ValueError):
         return orjson.loads(content)
     with contextlib.suppress(ValueError, RecursionError):
-        return _hide(json.loads(content), "")
-    return _take_apart(content)
+        return _mask_unreadable(json.loads(content), "")
+    return _parse_tolerantly(content)
 
 
-def _hide(value: Any, key: str) -> Any:
-    """Return a page without the objects that hold a number which is none."""
-    if isinstance(value, list) and key in _LISTS:
-        return [_hide(item, "") for item in value]
-    if isinstance(value, dict) and key in _OBJECTS:
-        return {name: _hide(item, name) for name, item in value.items()}
-    return value if _is_sound(value) else Unreadable()
+def _mask_unreadable(value: Any, key: str) -> Any:
+    """Return a page in which parts that aren't valid JSON are `Unreadable`."""
+    if isinstance(value, list) and key in _SPLIT_LISTS:
+        return [_mask_unreadable(item, "") for item in value]
+    if isinstance(value, dict) and key in _SPLIT_OBJECTS:
+        return {name: _mask_unreadable(item, name) for name, item in value.items()}
+    return value if _is_valid_json(value) else Unreadable()
 
 
-def _is_sound(value: Any) -> bool:
+def _is_valid_json(value: Any) -> bool:
     try:
-        # NaN, the infinities and lone surrogates are no JSON; the standard library
-        # reads them all the same.
+        # NaN, the infinities and lone surrogates aren't valid JSON, but the standard
+        # library accepts them.
         json.dumps(value, allow_nan=False)
         orjson.dumps(value)
     except (ValueError, TypeError):
@@ -56,42 +57,46 @@
     return True
 
 
-def _take_apart(content: bytes) -> Any:
-    """Parse a page by its syntax tree, which bears any depth and single errors.
+def _parse_tolerantly(content: bytes) -> Any:
+    """Parse a page from its syntax tree, which allows any depth and local errors.
 
     Raises:
-        ValueError: If the page itself is broken.
+        ValueError: If the page itself is invalid.
     """
-    # Not imported before it is needed, which is hardly ever.
+    # Imported on demand, since invalid pages are rare.
     import tree_sitter
     import tree_sitter_json
 
     language = tree_sitter.Language(tree_sitter_json.language())
     root = tree_sitter.Parser(language).parse(content).root_node
-    return _read(_list_sound(root)[0], "")
+    return _convert_node(_list_children(root)[0], "")
 
 
-def _read(node: Any, key: str) -> Any:
+def _convert_node(node: Any, key: str) -> Any:
     try:
         return orjson.loads(node.text)
     except ValueError:
-        if node.type == "array" and key in _LISTS:
-            return [_read(item, "") for item in _list_sound(node)]
-        if node.type == "object" and key in _OBJECTS:
-            return dict(_read_member(pair) for pair in _list_sound(node))
+        if node.type == "array" and key in _SPLIT_LISTS:
+            return [_convert_node(item, "") for item in _list_children(node)]
+        if node.type == "object" and key in _SPLIT_OBJECTS:
+            return dict(_convert_member(pair) for pair in _list_children(node))
         return Unreadable()
 
 
-def _list_sound(node: Any) -> list[Any]:
-    """Return the parts of a value, none of which is a place that can't be parsed."""
+def _list_children(node: Any) -> list[Any]:
+    """Return the children of a node.
+
+    Raises:
+        ValueError: If there are none, or if one of them is a syntax error.
+    """
     if not node.named_children:
-        raise ValueError("nothing there")
+        raise ValueError("empty JSON document or value")
     if any(part.is_error or part.is_missing for part in node.children):
-        raise ValueError(f"no JSON at byte {node.start_byte}")
+        raise ValueError(f"invalid JSON after byte {node.start_byte}")
     return list(node.named_children)
 
 
-def _read_member(pair: Any) -> tuple[str, Any]:
+def _convert_member(pair: Any) -> tuple[str, Any]:
     key, value = pair.named_children
     name = str(orjson.loads(key.text))
-    return name, _read(value, name)
+    return name, _convert_node(value, name)
--- a/knapweedrail/platform/relays.py
+++ b/knapweedrail/platform/relays.py
@@ -1,14 +1,14 @@
-"""A relay wired to the platform."""
+"""Creates relays that use the platform's store and formats."""
 
 from __future__ import annotations
 
 import socket
 from collections.abc import Callable
 
-from ..relay.daemons import DOUBT_SECONDS, Relay
+from ..relay.daemons import VANISHED_GRACE_SECONDS, Relay
 from ..relay.followers import ConfigurationFollower, RunnerFollower
 from ..relay.malformed import MalformedObjects
-from ..relay.measures import CountedStore, RelayMeasures
+from ..relay.measures import InstrumentedStore, RelayMeasures
 from ..relay.members import MEMBER_KIND
 from ..relay.options import RelaySettings
 from ..relay.reach import StoreReach
@@ -23,17 +23,18 @@
 def make_relay(
     settings: RelaySettings,
     listener: socket.socket,
-    count_left_out: Callable[[], int],
+    count_dropped: Callable[[], int],
 ) -> Relay:
     """Return a relay that isn't started yet.
 
     Args:
-        listener: Listens on the callers' address.
-        count_left_out: Returns the log lines left out so far.
+        settings: Settings of the process.
+        listener: Socket that listens on the address for callers.
+        count_dropped: Returns the number of log lines dropped so far.
     """
     measures = RelayMeasures()
     malformed = MalformedObjects(measures.count_malformed)
-    store = CountedStore(PlatformStore(settings.store_address), measures)
+    store = InstrumentedStore(PlatformStore(settings.store_address), measures)
     configuration, runners = make_followers(settings, store, malformed)
     return Relay(
         settings,
@@ -44,14 +45,14 @@
         PlatformCodec(),
         measures,
         malformed,
-        count_left_out,
+        count_dropped,
     )
 
 
 def make_followers(
     settings: RelaySettings, store: Store, malformed: MalformedObjects
 ) -> tuple[ConfigurationFollower, RunnerFollower]:
-    """Return what follows the configuration, and what follows the list of runners."""
+    """Return the watchers of the configuration and of the list of runners."""
     reach = StoreReach(store, MEMBER_KIND, settings.host)
     configuration = ConfigurationFollower(
         store,
@@ -69,7 +70,7 @@
         names.RUNNERS_KIND,
         settings.runner_watch_seconds,
         decode_runner,
-        RunnerTable(DOUBT_SECONDS),
+        RunnerTable(VANISHED_GRACE_SECONDS),
         settings.runner_batch_seconds,
         malformed,
         reach,
--- a/knapweedrail/platform/store.py
+++ b/knapweedrail/platform/store.py
@@ -23,18 +23,18 @@
     WriteOutcome,
     Written,
 )
-from .clients import ANSWER_SECONDS, StoreClient, limit_steps
+from .clients import ANSWER_SECONDS, StoreClient, make_timeout
 from .pages import parse_page
 
 WATCH_GRACE_SECONDS = 0.3
-"""How much later than its own end a waiting watch may be answered."""
+"""How much later than its own wait time a watch may be answered."""
 
-STALE = {"allowStale": "1"}
-"""Asks for data that may be seconds old, at a tenth of the price."""
+ALLOW_STALE = {"allowStale": "1"}
+"""Query that accepts data some seconds old, at a tenth of the cost."""
 
 
 class PlatformStore(Store):
-    """The platform's store.
+    """Client of the platform's store over HTTP.
 
     Args:
         address: ``host:port``.
@@ -50,25 +50,26 @@
 
     async def list_kind(self, kind: str, stale: bool = False) -> Listing | Unavailable:
         objects: list[StoredObject] = []
-        always = STALE if stale else {}
-        query: dict[str, str] = always
+        base_query = ALLOW_STALE if stale else {}
+        query: dict[str, str] = base_query
         revision: int | None = None
         while True:
             page = await self._read("list", f"/objects/{kind}", query, ANSWER_SECONDS)
             if not isinstance(page, dict):
-                return self._away("list", page)
+                return self._unavailable("list", page)
             try:
-                objects.extend(_decode_named(page["entries"]))
+                objects.extend(_decode_objects(page["entries"]))
                 if revision is None:
-                    # Of the first page: what changed there since, no later one shows.
+                    # The revision of the first page counts: later pages don't show
+                    # what has changed since in the objects of the first one.
                     revision = int(page["asOf"])
                 if not page.get("morePages"):
                     return Listing(tuple(objects), revision)
                 if query.get("after") == objects[-1].name:
-                    return self._away("list", "a page that names no object")
-                query = always | {"after": objects[-1].name}
+                    return self._unavailable("list", "page without any named object")
+                query = base_query | {"after": objects[-1].name}
             except _DECODE_ERRORS as error:
-                return self._away("list", error)
+                return self._unavailable("list", error)
 
     async def watch_kind(
         self, kind: str, revision: int, seconds: float
@@ -79,24 +80,24 @@
         if page == httpx.codes.GONE:
             return HistoryGone()
         if not isinstance(page, dict):
-            return self._away("watch", page)
+            return self._unavailable("watch", page)
         try:
             changes = tuple(_decode_changes(page["events"]))
             return Changes(changes, int(page["asOf"]))
         except _DECODE_ERRORS as error:
-            return self._away("watch", error)
+            return self._unavailable("watch", error)
 
     async def peek(self, kind: str, name: str) -> StoredObject | Missing | Unavailable:
         path = f"/objects/{kind}/{name}"
-        found = await self._read("peek", path, STALE, ANSWER_SECONDS)
+        found = await self._read("peek", path, ALLOW_STALE, ANSWER_SECONDS)
         if found == httpx.codes.NOT_FOUND:
             return Missing()
         if not isinstance(found, dict):
-            return self._away("peek", found)
+            return self._unavailable("peek", found)
         try:
             return _decode_object(found)
         except _DECODE_ERRORS as error:
-            return self._away("peek", error)
+            return self._unavailable("peek", error)
 
     async def create(self, kind: str, name: str, spec: Any) -> WriteOutcome:
         body = {"metadata": {"name": name}, "spec": spec}
@@ -109,7 +110,7 @@
         return await self._write("replace", "PUT", f"/objects/{kind}/{name}", body)
 
     async def delete(self, kind: str, name: str) -> WriteOutcome:
-        # Of a removal only the status says something: there is no object to decode.
+        # The answer to a deletion has a status only, and no object to decode.
         try:
             async with self._borrow_client() as client:
                 answer = await client.delete(f"/objects/{kind}/{name}")
@@ -119,7 +120,7 @@
             return Missing()
         if answer.is_success:
             return Written(0)
-        return self._away("delete", answer.status_code)
+        return self._unavailable("delete", answer.status_code)
 
     async def _read(
         self,
@@ -128,16 +129,19 @@
         query: dict[str, str],
         seconds: float,
     ) -> dict[str, Any] | int | httpx.HTTPError | ValueError:
-        """Return the page read, the status of another answer, or what went wrong.
+        """Return the parsed page, the status of an answer other than 200, or the error.
 
         Args:
-            seconds: Longest wait for each part of the answer. The whole of it has no
-                limit: over a small link a large one would be given up each time.
+            step: Name of the call.
+            path: Path of the request.
+            query: Query parameters of the request.
+            seconds: Longest wait for each part of the answer. The answer as a whole has
+                no limit, since a large one would time out each time over a slow link.
         """
         try:
             async with self._borrow_client() as client:
                 answer = await client.get(
-                    path, params=query, timeout=limit_steps(seconds)
+                    path, params=query, timeout=make_timeout(seconds)
                 )
             if answer.status_code != httpx.codes.OK:
                 return answer.status_code
@@ -157,7 +161,7 @@
                     headers={"content-type": "application/json"},
                 )
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
-            return self._away(step, error)
+            return self._unavailable(step, error)
         except httpx.HTTPError as error:
             return Unknown(f"store.{step}", self._address, repr(error))
         try:
@@ -175,15 +179,15 @@
             case 404:
                 return Missing()
             case 429 | 503:
-                return self._away(step, answer.status_code)
+                return self._unavailable(step, answer.status_code)
         return Unknown(f"store.{step}", self._address, str(answer.status_code))
 
     @contextlib.asynccontextmanager
     async def _borrow_client(self) -> AsyncIterator[httpx.AsyncClient]:
-        """Lend the client for one call, and replace it if an answer is overdue.
+        """Provide the client for one call, and replace it after a timeout.
 
-        Its other connections may be as silent as that one, and each would cost the
-        next call as long a wait.
+        Its other connections may be as unresponsive as that one, and each would delay
+        the next call by another timeout.
         """
         client = self._client
         try:
@@ -195,29 +199,30 @@
                 await client.retire()
             raise
 
-    def _away(self, step: str, reason: object) -> Unavailable:
+    def _unavailable(self, step: str, reason: object) -> Unavailable:
         return Unavailable(f"store.{step}", self._address, repr(reason))
 
 
 _DECODE_ERRORS = (AttributeError, IndexError, KeyError, TypeError, ValueError)
-"""What an answer raises that isn't the store's; nothing is known of it then."""
+"""Errors while decoding an answer that doesn't have the store's format; such an answer
+says nothing about the outcome of the call."""
 
 
-def _decode_named(items: list[dict[str, Any]]) -> Iterator[StoredObject]:
-    """Yield the objects of a page; one without a name tells of nothing."""
+def _decode_objects(items: list[dict[str, Any]]) -> Iterator[StoredObject]:
+    """Yield the objects of a page; malformed ones, as without a name, are skipped."""
     for item in items:
-        with _pass_over(item):
+        with _skip_malformed(item):
             yield _decode_object(item)
 
 
 def _decode_changes(items: list[dict[str, Any]]) -> Iterator[Change]:
     for item in items:
-        with _pass_over(item):
+        with _skip_malformed(item):
             yield Change(_decode_object(item["object"]), bool(item.get("removed")))
 
 
 @contextlib.contextmanager
-def _pass_over(item: Any) -> Iterator[None]:
+def _skip_malformed(item: Any) -> Iterator[None]:
     try:
         yield
     except _DECODE_ERRORS as error:
@@ -227,5 +232,5 @@
 def _decode_object(item: dict[str, Any]) -> StoredObject:
     meta = item["metadata"]
     if not isinstance(meta["name"], str):
-        raise TypeError(f"a name that is {meta['name']!r:.50}")
+        raise TypeError(f"object name is not a string: {meta['name']!r:.50}")
     return StoredObject(meta["name"], int(meta["revision"]), item.get("spec"))
--- a/knapweedrail/relay/measures.py
+++ b/knapweedrail/relay/measures.py
@@ -1,4 +1,4 @@
-"""Metrics of a relay, and a store that counts its calls."""
+"""Metrics of a relay, and a store client that counts its calls."""
 
 from __future__ import annotations
 
@@ -17,23 +17,26 @@
 from .stores import Store
 
 GAP_BOUNDS = [0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2, 5]
-"""Longest pause of a stream, seconds; callers aim at a quarter of a second."""
+"""Histogram bounds of a stream's longest pause, seconds. The callers' objective is
+0.25 s."""
 
 DELAY_BOUNDS = [0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1]
-"""Seconds by which the event loop is late; each adds to every answer under way."""
+"""Histogram bounds of the event loop's delay, seconds. A delay of the loop delays every
+answer in progress."""
 
-MOST_ACCOUNTS = 50
-"""Accounts with a series of their own; an operator with more asks the ledger."""
+MAX_ACCOUNTS = 50
+"""Accounts that get a time series of their own. An operator with more accounts reads
+the ledger."""
 
-LATE_SECONDS = 0.1
-"""Delay of the event loop from which on a line says so: a fifth of the shortest
-objective of callers, and every answer under way was late by it."""
+LATE_LOG_THRESHOLD_SECONDS = 0.1
+"""Delay of the event loop that is logged: a fifth of the callers' shortest objective.
+Every answer in progress was delayed by it."""
 
-TOLD_SECONDS = 1.0
-"""Pause between two such lines."""
+LATE_LOG_INTERVAL_SECONDS = 1.0
+"""Shortest interval between two log lines about the event loop's delay."""
 
-CALLS_SECONDS = 10.0
-"""Pause between two lines on the calls to the store."""
+CALLS_LOG_INTERVAL_SECONDS = 10.0
+"""Interval of log lines about the calls to the store."""
 
 
 class RelayMeasures(Measures):
@@ -42,13 +45,13 @@
     Attributes:
         refusals: Refusals by kind.
         attempts: Attempts at runners by endpoint and outcome.
-        repeats: Attempts after the first, by endpoint, and whether the retry share
-            had one left.
+        repeats: Attempts after the first, by endpoint and by whether the retry budget
+            allowed them.
         gaps: Longest pause of each stream, seconds, by route.
         store_calls: Calls to the store by step, kind and outcome.
-        malformed: Objects of the store that couldn't be used, by kind, each change
-            of one counted once.
-        delays: Seconds by which the event loop was late.
+        malformed: Objects of the store that couldn't be used, by kind; each revision of
+            an object is counted once.
+        delays: Delay of the event loop, seconds.
     """
 
     def __init__(self) -> None:
@@ -72,18 +75,22 @@
         self.malformed.add(1, {"kind": kind})
 
     async def prepare_export(self) -> None:
-        """Let the exporter take over, if it hasn't yet.
+        """Import the exporter and hand the metrics over to it, if not done yet.
 
-        Its import in a thread of its own leaves the event loop its turns; in the loop
-        every answer under way would stand still for a tenth of a second.
+        The import runs in a thread, so that the event loop keeps running. In the loop
+        it would block every answer in progress for a tenth of a second.
         """
         if not self.exporting:
             await anyio.to_thread.run_sync(import_exporter)
             self.export()
 
     async def watch_delay(self, pressure: Pressure) -> None:
-        """Measure the event loop's delay until cancelled."""
-        told_at = float("-inf")
+        """Measure, record and log the event loop's delay until cancelled.
+
+        Args:
+            pressure: Gets each measured delay.
+        """
+        logged_at = float("-inf")
         while True:
             due = time.monotonic() + TICK_SECONDS
             await anyio.sleep(TICK_SECONDS)
@@ -91,8 +98,11 @@
             late = max(0.0, now - due)
             pressure.note_delay(late, now)
             self.delays.record(late)
-            if late >= LATE_SECONDS and now - told_at >= TOLD_SECONDS:
-                told_at = now
+            if (
+                late >= LATE_LOG_THRESHOLD_SECONDS
+                and now - logged_at >= LATE_LOG_INTERVAL_SECONDS
+            ):
+                logged_at = now
                 log_event(
                     Event.LOOP_LATE,
                     seconds=round(late, 3),
@@ -117,61 +127,63 @@
         await send({"type": "http.response.body", "body": body})
 
 
-def limit_accounts(
+def read_per_account(
     accounts: dict[str, Account], read: Callable[[str], float]
 ) -> dict[str, float]:
-    """Return a figure of each account, of the first `MOST_ACCOUNTS`."""
-    return {name: read(name) for name in sorted(accounts)[:MOST_ACCOUNTS]}
+    """Return ``read(name)`` for each of the first `MAX_ACCOUNTS` accounts, by name."""
+    return {name: read(name) for name in sorted(accounts)[:MAX_ACCOUNTS]}
 
 
-class CountedStore(Store):
-    """A store whose calls are counted by step, kind and outcome.
+class InstrumentedStore(Store):
+    """A store that counts its calls by step, kind and outcome.
 
     Args:
-        store: The store that is called.
-        measures: Where calls are counted.
+        store: The store to which calls are delegated.
+        measures: Metrics in which calls are counted.
     """
 
     def __init__(self, store: Store, measures: RelayMeasures) -> None:
         self._store = store
         self._measures = measures
-        self._begun: Counter[str] = Counter()
+        self._started: Counter[str] = Counter()
 
     async def list_kind(self, kind: str, stale: bool = False) -> Any:
         step = "list-stale" if stale else "list"
-        return await self._count(step, kind, self._store.list_kind(kind, stale))
+        return await self._count_call(step, kind, self._store.list_kind(kind, stale))
 
     async def watch_kind(self, kind: str, revision: int, seconds: float) -> Any:
         call = self._store.watch_kind(kind, revision, seconds)
-        return await self._count("watch", kind, call)
+        return await self._count_call("watch", kind, call)
 
     async def peek(self, kind: str, name: str) -> Any:
-        return await self._count("peek", kind, self._store.peek(kind, name))
+        return await self._count_call("peek", kind, self._store.peek(kind, name))
 
     async def create(self, kind: str, name: str, spec: Any) -> Any:
-        return await self._count("create", kind, self._store.create(kind, name, spec))
+        return await self._count_call(
+            "create", kind, self._store.create(kind, name, spec)
+        )
 
     async def replace(self, kind: str, name: str, spec: Any, revision: int) -> Any:
         call = self._store.replace(kind, name, spec, revision)
-        return await self._count("replace", kind, call)
+        return await self._count_call("replace", kind, call)
 
     async def delete(self, kind: str, name: str) -> Any:
-        return await self._count("delete", kind, self._store.delete(kind, name))
+        return await self._count_call("delete", kind, self._store.delete(kind, name))
 
-    async def log_calls(self) -> None:
-        """Write a line now and then on the calls that were begun, until cancelled."""
+    async def report_calls(self) -> None:
+        """Log the counts of calls at regular intervals until cancelled."""
         while True:
-            await anyio.sleep(CALLS_SECONDS)
-            self.log_begun()
+            await anyio.sleep(CALLS_LOG_INTERVAL_SECONDS)
+            self.log_call_counts()
 
-    def log_begun(self) -> None:
-        """Write a line on the calls that were begun since the last one."""
-        if self._begun:
-            log_event(Event.STORE_CALLS, calls=dict(self._begun))
-            self._begun.clear()
+    def log_call_counts(self) -> None:
+        """Log the calls started since the last such line, by step and kind."""
+        if self._started:
+            log_event(Event.STORE_CALLS, calls=dict(self._started))
+            self._started.clear()
 
-    async def _count(self, step: str, kind: str, call: Awaitable[Any]) -> Any:
-        self._begun[f"{step} {kind}"] += 1
+    async def _count_call(self, step: str, kind: str, call: Awaitable[Any]) -> Any:
+        self._started[f"{step} {kind}"] += 1
         outcome = await call
         name = type(outcome).__name__.lower()
         self._measures.store_calls.add(1, {"step": step, "kind": kind, "outcome": name})
--- a/knapweedrail/tests/test_events.py
+++ b/knapweedrail/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogue of events and its page say the same."""
+"""The event catalogue matches its page in the documentation."""
 
 import pathlib
 import re
@@ -15,6 +15,6 @@
     assert listed == known
 
 
-def test_no_number_stands_twice():
+def test_event_numbers_are_unique():
     numbers = [event.number for event in Event]
     assert len(numbers) == len(set(numbers))
--- a/knapweedrail/tests/test_relay_process.py
+++ b/knapweedrail/tests/test_relay_process.py
@@ -1,4 +1,4 @@
-"""A relay as a process of its own: start, work, metrics, logs and an orderly stop."""
+"""A relay as a separate process: startup, requests, metrics, logs and shutdown."""
 
 import contextlib
 import os
@@ -50,12 +50,12 @@
 
 STOP_SECONDS = 6
 STORE_DELAY_SECONDS = 0.3
-"""Less than a start waits for its first configuration."""
+"""Less than the time for which a start waits for its first configuration."""
 
 EVENTS = 30
 
 
-def find_ports(count):
+def find_free_ports(count):
     import socket
 
     sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
@@ -66,17 +66,17 @@
 
 
 class RelayProcess:
-    """One process with its addresses and its log."""
+    """A relay process with its addresses and its log file."""
 
     def __init__(self, folder, store_address, changes=None):
-        front, ready, peer, metrics = find_ports(4)
-        self.url = f"http://127.0.0.1:{front}"
+        caller_port, ready, peer, metrics = find_free_ports(4)
+        self.url = f"http://127.0.0.1:{caller_port}"
         self.ready_url = f"http://127.0.0.1:{ready}/ready"
         self.metrics_url = f"http://127.0.0.1:{metrics}/metrics"
         settings = {
             "host": "host-1",
             "data_centre": "dc",
-            "caller_address": f"127.0.0.1:{front}",
+            "caller_address": f"127.0.0.1:{caller_port}",
             "ready_address": f"127.0.0.1:{ready}",
             "peer_address": f"127.0.0.1:{peer}",
             "metrics_address": f"127.0.0.1:{metrics}",
@@ -156,8 +156,8 @@
     return True
 
 
-async def test_callers_of_a_start_wait_for_its_first_configuration(tmp_path):
-    """Guards against callers who are refused at all hosts as these start together."""
+async def test_callers_wait_for_first_configuration_at_startup(tmp_path):
+    """Guards against refusals of callers by all hosts when these start together."""
     headers = make_headers(1)
     del headers["knapweedrail-token-usage"]
     run = run_process(tmp_path, answer_well, delay=STORE_DELAY_SECONDS)
@@ -170,7 +170,7 @@
     assert answer.status_code == 200
 
 
-async def test_a_process_answers_tells_its_metrics_and_logs_the_decision(tmp_path):
+async def test_process_answers_exports_metrics_and_logs(tmp_path):
     async with run_process(tmp_path, answer_well) as (objects, relay, client):
         objects.put("servers", "i-2", make_entry(slots=-8))
         answer = await client.post(f"{relay.url}/a/x", headers=make_headers(1))
@@ -203,11 +203,11 @@
     assert relay.process.returncode == 0
 
 
-async def test_a_stopping_process_cuts_off_no_stream_and_gives_its_tokens_back(
+async def test_shutdown_finishes_streams_and_returns_tokens(
     tmp_path,
 ):
-    """The host is asked to stop while a plan streams to its caller. A plan that breaks
-    off is a phone call that nobody is free to take."""
+    """The relay is asked to shut down while it streams an answer. The stream must be
+    completed, since its caller can't use part of an answer."""
     async with run_process(tmp_path, stream_slowly) as (objects, relay, client):
         got = []
 
@@ -226,7 +226,7 @@
             relay.process.send_signal(signal.SIGTERM)
             await anyio.sleep(0.3)
             assert (await client.get(relay.ready_url)).status_code == 503
-            # The balancer hasn't noticed yet, and sends one more caller.
+            # The load balancer hasn't noticed yet and sends another request.
             late = await client.post(f"{relay.url}/a/x", headers=make_headers(2))
             assert late.headers["connection"] == "close"
         with anyio.fail_after(STOP_SECONDS + 2):
@@ -243,10 +243,10 @@
     return False
 
 
-async def test_a_stop_with_open_connections_prints_nothing_but_its_log(tmp_path):
-    """A call still hangs at its runner when the time to stop is over, and others keep
-    idle connections. Whoever stopped the process found a dozen tracebacks in its
-    output, and looked for a fault."""
+async def test_shutdown_with_open_connections_prints_only_log_lines(tmp_path):
+    """A call still hangs at its runner when the grace period ends, and other callers
+    keep idle connections. Each printed a traceback, which looked like a fault to the
+    operator."""
     async with run_process(tmp_path, hang) as (_, relay, _):
         port = int(relay.url.rpartition(":")[2])
         callers = [await anyio.connect_tcp("127.0.0.1", port) for _ in range(4)]
@@ -263,12 +263,12 @@
                 await anyio.sleep(0.05)
         for caller in callers:
             await caller.aclose()
-    # Each line is a log event; anything else can't be read as one.
+    # Every line must be a log event; reading anything else as JSON fails.
     lines = relay.read_log()
     assert lines[-1]["message_type"] == "103 router_stopped"
     assert relay.process.returncode == 0
-    # Whose request was cut off asks why: the log tells when it came, and what the
-    # relay thought that it had left.
+    # To explain an aborted request, the log contains when it arrived and how much time
+    # the relay had left.
     by_kind = {line["message_type"]: line for line in lines}
     assert 0 <= by_kind["102 router_stopping"]["noticed_after"] < 0.3
     taken = by_kind["607 request_taken_late"]
@@ -277,16 +277,16 @@
     assert len(cut) == 2 and all(not line["started"] for line in cut)
 
 
-async def test_a_killed_process_leaves_its_tokens_counted(tmp_path):
-    """The process is killed. What it held may have been spent, so it counts as spent,
-    and the process that takes its place can't spend it again."""
+async def test_tokens_of_killed_process_count_as_used(tmp_path):
+    """Tokens held by a killed process may have been used, so they count as used, and
+    the process that replaces it can't use them again."""
     async with run_process(tmp_path, answer_well) as (objects, relay, client):
         await client.post(f"{relay.url}/a/x", headers=make_headers(1))
         os.kill(relay.process.pid, signal.SIGKILL)
         relay.process.wait()
         before = objects.read("token-ledgers", "farm")
         held = sum(tokens for tokens, _ in before["grants"].values())
-        server = objects_address(relay)
+        server = read_store_address(relay)
         again = RelayProcess(tmp_path, server)
         try:
             await wait_ready(client, again)
@@ -310,7 +310,7 @@
     return None
 
 
-def objects_address(relay):
+def read_store_address(relay):
     return orjson.loads((relay._log.parent / "relay.jsonc").read_bytes()[18:])[
         "store_address"
     ]
