--- a/knapweedrail/relay/dialers.py
+++ b/knapweedrail/relay/dialers.py
@@ -15,8 +15,8 @@
 from ..wire.relays_pb2 import KindNews, NewsReply, NewsRequest
 from .links import (
     Dialer,
+    EncodedUpdate,
     FollowerLink,
-    KindState,
     LinkLostError,
     Reading,
     Telling,
@@ -36,12 +36,12 @@
         try:
             stream = RelaysStub(channel).FollowNews.open()
             await stream.__aenter__()
-            yield GrpcFollowerLink(stream)
+            yield GrpcSourceLink(stream)
         finally:
             channel.close()
 
 
-class GrpcFollowerLink(FollowerLink):
+class GrpcSourceLink(FollowerLink):
     """The end of the relay that follows another one.
 
     Args:
@@ -51,32 +51,32 @@
     def __init__(self, stream: ClientStream) -> None:
         self._stream = stream
 
-    async def send(self, reading: Reading) -> None:
-        request = NewsRequest(
-            clock=int(reading.clock * MILLISECONDS), revisions=reading.revisions
+    async def send(self, request: Reading) -> None:
+        message = NewsRequest(
+            clock=int(request.clock * MILLISECONDS), revisions=request.revisions
         )
         with _translate_errors():
-            await self._stream.send_message(request)
+            await self._stream.send_message(message)
 
     async def receive(self) -> Telling:
         with _translate_errors():
-            reply = await self._stream.recv_message()
-        if reply is None:
+            message = await self._stream.recv_message()
+        if message is None:
             raise LinkLostError("ended by the other relay")
         kinds = [
-            KindState(
-                kind=news.kind,
-                since=news.since,
-                revision=news.revision,
-                changes=news.changes,
-                age=news.age / MILLISECONDS if news.confirmed else None,
+            EncodedUpdate(
+                kind=kind_news.kind,
+                since=kind_news.since,
+                revision=kind_news.revision,
+                changes=kind_news.changes,
+                age=kind_news.age / MILLISECONDS if kind_news.confirmed else None,
             )
-            for news in reply.kinds
+            for kind_news in message.kinds
         ]
-        return Telling(reply.clock / MILLISECONDS, tuple(kinds))
+        return Telling(message.clock / MILLISECONDS, tuple(kinds))
 
 
-class GrpcWatcherLink(WatcherLink):
+class GrpcSubscriberLink(WatcherLink):
     """The end of the relay that is followed."""
 
     def __init__(self, stream: Stream) -> None:
@@ -84,26 +84,26 @@
 
     async def receive(self) -> Reading:
         with _translate_errors():
-            request = await self._stream.recv_message()
-        if request is None:
+            message = await self._stream.recv_message()
+        if message is None:
             raise LinkLostError("ended by the follower")
-        return Reading(request.clock / MILLISECONDS, dict(request.revisions))
+        return Reading(message.clock / MILLISECONDS, dict(message.revisions))
 
-    async def send(self, telling: Telling) -> None:
+    async def send(self, reply: Telling) -> None:
         kinds = [
             KindNews(
-                kind=state.kind,
-                since=state.since,
-                revision=state.revision,
-                changes=state.changes,
-                confirmed=state.age is not None,
-                age=round((state.age or 0.0) * MILLISECONDS),
+                kind=update.kind,
+                since=update.since,
+                revision=update.revision,
+                changes=update.changes,
+                confirmed=update.age is not None,
+                age=round((update.age or 0.0) * MILLISECONDS),
             )
-            for state in telling.kinds
+            for update in reply.kinds
         ]
-        reply = NewsReply(clock=round(telling.clock * MILLISECONDS), kinds=kinds)
+        message = NewsReply(clock=round(reply.clock * MILLISECONDS), kinds=kinds)
         with _translate_errors():
-            await self._stream.send_message(reply)
+            await self._stream.send_message(message)
 
 
 @contextlib.contextmanager
--- a/knapweedrail/relay/followers.py
+++ b/knapweedrail/relay/followers.py
@@ -22,7 +22,7 @@
 from .stores import Change, Changes, HistoryGone, Listing, Store, StoredObject
 from .supplies import NewsTaker, NoSupply
 
-OVERDUE_SECONDS = 1.0
+CONFIRMATION_MARGIN_SECONDS = 1.0
 """How much later than its watch's own end a configuration may be confirmed: the
 answer's delay, a pause before the next, and half a second to spare."""
 
@@ -57,11 +57,11 @@
     ) -> None:
         super().__init__(f"follow {kind}")
         if limit_seconds is None:
-            limit_seconds = watch_seconds + OVERDUE_SECONDS
+            limit_seconds = watch_seconds + CONFIRMATION_MARGIN_SECONDS
         self._limit_seconds = limit_seconds
         self.replica = Replica(kind)
         self.supply = NoSupply()
-        self._listing = True
+        self._list_next = True
         self._needed_revision = 0
         self._malformed = malformed or MalformedObjects()
         self._reach = reach or StoreReach(store, kind, kind)
@@ -70,7 +70,7 @@
         self._store = store
         self._kind = kind
         self._watch_seconds = watch_seconds
-        self._reachable = True
+        self._store_available = True
 
     @property
     def fetching(self) -> bool:
@@ -78,64 +78,64 @@
         return self.replica.revision < self._needed_revision
 
     async def run(self) -> None:
-        await self._look()
+        await self._load_stale_list()
         while True:
-            if await self._rest():
+            if await self._wait_for_updates():
                 continue
             began_at = time.monotonic()
             outcome = None
-            with self._reach.wait():
-                outcome = await self._ask()
+            with self._reach.abandon_on_recovery():
+                outcome = await self._call_store()
             if outcome is not None:
-                await self._handle(outcome, time.monotonic() - began_at)
+                await self._handle_outcome(outcome, time.monotonic() - began_at)
 
     def take_news(self, news: News, confirmed_at: float) -> None:
         try:
-            changes = self.replica.take_news(news)
+            changes = self.replica.merge_update(news)
         except OutOfStepError as error:
-            if error.fetch:
+            if error.needs_fetch:
                 log_event(Event.NEWS_FETCHED, kind=self._kind, reason=str(error))
                 self._needed_revision = max(self._needed_revision, news.revision)
-                self._listing = True
+                self._list_next = True
                 self.supply.changed.give()
             raise
-        self._take_changes(changes)
+        self._apply_changes(changes)
         if confirmed_at > self.confirmed_at and not self.fetching:
-            self._listing = False
+            self._list_next = False
             self.confirmed_at = confirmed_at
             self.note_confirmed(time.monotonic())
 
-    async def _look(self) -> None:
+    async def _load_stale_list(self) -> None:
         """Begin with what the store knew some seconds ago, for a tenth of a call."""
         outcome = await self._store.list_kind(self._kind, stale=True)
         if isinstance(outcome, Listing):
-            self._take_list(outcome)
+            self._apply_list(outcome)
 
-    async def _rest(self) -> bool:
+    async def _wait_for_updates(self) -> bool:
         """Wait while other relays' word will do; return whether it did."""
         if self.fetching:
             return False
-        rest = self.supply.measure_rest(self._kind, self._limit_seconds)
-        if rest <= 0.0:
+        wait_seconds = self.supply.measure_rest(self._kind, self._limit_seconds)
+        if wait_seconds <= 0.0:
             return False
-        with anyio.move_on_after(rest):
+        with anyio.move_on_after(wait_seconds):
             await self.supply.changed.wait()
         return True
 
-    async def _ask(self) -> Listing | Changes | HistoryGone | Unavailable:
-        if self._listing:
+    async def _call_store(self) -> Listing | Changes | HistoryGone | Unavailable:
+        if self._list_next:
             return await self._store.list_kind(self._kind)
         return await self._store.watch_kind(
             self._kind, self.replica.revision, self._watch_seconds
         )
 
-    def _take_list(self, listing: Listing) -> None:
-        if self.replica.replace_all(listing.objects, listing.revision):
+    def _apply_list(self, listing: Listing) -> None:
+        if self.replica.apply_list(listing.objects, listing.revision):
             self.replace_all(listing.objects)
             self.supply.note_change()
 
-    def _take_changes(self, changes: list[Change]) -> None:
-        for change in self.order(tuple(changes)):
+    def _apply_changes(self, changes: list[Change]) -> None:
+        for change in self.sort_changes(tuple(changes)):
             if change.removed:
                 self.remove(change.stored)
             else:
@@ -143,46 +143,46 @@
         if changes:
             self.supply.note_change()
 
-    async def _handle(
+    async def _handle_outcome(
         self,
         outcome: Listing | Changes | HistoryGone | Unavailable,
         waited: float,
     ) -> None:
         match outcome:
             case Unavailable():
-                self._note_reach(False, outcome.detail, waited)
-                self._listing = self._listing or self.lists_after_outage
-                await self._reach.find_back(waited)
+                self._note_availability(False, outcome.detail, waited)
+                self._list_next = self._list_next or self.relists_after_outage
+                await self._reach.wait_until_available(waited)
                 self.supply.note_back()
                 return
             case HistoryGone():
                 log_event(Event.HISTORY_GONE, kind=self._kind)
-                self._listing = True
+                self._list_next = True
             case Listing():
-                self._take_list(outcome)
-                self._listing = False
+                self._apply_list(outcome)
+                self._list_next = False
             case Changes():
-                self._take_changes(
-                    self.replica.select(outcome.changes, outcome.revision)
+                self._apply_changes(
+                    self.replica.apply_changes(outcome.changes, outcome.revision)
                 )
-        self._note_reach(True, "", waited)
-        self._reach.note_answer()
+        self._note_availability(True, "", waited)
+        self._reach.reset_backoff()
         self.confirmed_at = time.monotonic()
         self.note_confirmed(self.confirmed_at)
         if isinstance(outcome, Changes) and outcome.changes:
             await anyio.sleep(self._batch_seconds)
 
-    def _note_reach(self, reached: bool, detail: str, waited: float) -> None:
-        if reached != self._reachable:
+    def _note_availability(self, available: bool, detail: str, waited: float) -> None:
+        if available != self._store_available:
             unheard = time.monotonic() - self.confirmed_at
             log_event(
-                Event.PLATFORM_BACK if reached else Event.PLATFORM_AWAY,
+                Event.PLATFORM_BACK if available else Event.PLATFORM_AWAY,
                 step=self.name,
                 detail=detail,
                 waited=round(waited, 3),
                 unheard=round(unheard, 3) if math.isfinite(unheard) else None,
             )
-        self._reachable = reached
+        self._store_available = available
 
     def note_confirmed(self, now: float) -> None:
         """Take in that all that the store has is known."""
@@ -193,11 +193,11 @@
             self._kind, stored.name, stored.revision, str(error), time.monotonic()
         )
 
-    def order(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
+    def sort_changes(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
         """Return changes that came together in the order in which they are taken in."""
         return changes
 
-    lists_after_outage = False
+    relists_after_outage = False
     """Whether a list is shorter after an outage than all changes since."""
 
     @abstractmethod
@@ -223,7 +223,7 @@
 
     # A list has the newest version alone. A watch would bring each one since then in
     # full, which takes seconds over a small link.
-    lists_after_outage = True
+    relists_after_outage = True
 
     def __init__(
         self,
@@ -249,7 +249,7 @@
         self.table: RouteTable | None = None
         self.known = anyio.Event()
         self._listeners: list[Callable[[Configuration], None]] = []
-        self._taken_revision = 0
+        self._applied_revision = 0
         self._decode = decode
         self._name = name
 
@@ -266,7 +266,7 @@
         """Return whether the store should have confirmed the configuration by now."""
         return now - self.confirmed_at > self._limit_seconds
 
-    def order(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
+    def sort_changes(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
         # The newest first, so that older ones needn't be decoded.
         return changes[::-1]
 
@@ -275,7 +275,7 @@
             self.set(stored)
 
     def set(self, stored: StoredObject) -> None:
-        if stored.name != self._name or stored.revision <= self._taken_revision:
+        if stored.name != self._name or stored.revision <= self._applied_revision:
             return
         try:
             found = self._decode(stored.spec)
@@ -286,7 +286,7 @@
         if known is not None and found.version <= known.version:
             return
         self.table = RouteTable(found)
-        self._taken_revision = stored.revision
+        self._applied_revision = stored.revision
         self.known.set()
         for listener in self._listeners:
             listener(found)
@@ -300,7 +300,7 @@
         log_event(Event.CONFIGURATION_REMOVED, name=stored.name)
 
 
-_READINGS = {
+_READING_EVENTS = {
     Reading.TAKEN: Event.RUNNER_LISTED,
     Reading.RESTARTED: Event.RUNNER_RESTARTED,
     Reading.OUTDATED: Event.RUNNER_OUTDATED,
@@ -338,24 +338,24 @@
         )
         self.table = table
         self._decode_runner = decode
-        self._telling = StartTelling()
+        self._start_reports = StartTelling()
 
     def replace_all(self, objects: tuple[StoredObject, ...]) -> None:
-        self._telling.keep({stored.name for stored in objects})
+        self._start_reports.keep({stored.name for stored in objects})
         found = [(stored, self._decode(stored)) for stored in objects]
-        runners = [runner for stored, runner in found if self._admit(stored, runner)]
+        runners = [runner for stored, runner in found if self._accepts(stored, runner)]
         self.table.replace_all(runners, time.monotonic())
 
     def set(self, stored: StoredObject) -> None:
         runner = self._decode(stored)
-        if not self._admit(stored, runner):
+        if not self._accepts(stored, runner):
             # As if it were missing: others get its work. A runner whose entry another
             # writer spoilt writes it again at its next heartbeat, and keeps its record
             # until then; it is used meanwhile only where no other is left.
             self.table.remove_runner(stored.name, time.monotonic())
             return
         log_event(
-            _READINGS[self.table.set_runner(runner)],
+            _READING_EVENTS[self.table.set_runner(runner)],
             runner=runner.name,
             started=runner.started,
             endpoint=runner.endpoint,
@@ -367,20 +367,20 @@
         self.table.note_list(now)
 
     def remove(self, stored: StoredObject) -> None:
-        self._telling.forget(stored.name)
-        started = self._find_start(stored)
+        self._start_reports.forget(stored.name)
+        started = self._decode_start(stored)
         self.table.remove_runner(stored.name, time.monotonic(), started)
         log_event(Event.RUNNER_UNLISTED, runner=stored.name, revision=stored.revision)
 
-    def _admit(self, stored: StoredObject, runner: Runner | None) -> bool:
+    def _accepts(self, stored: StoredObject, runner: Runner | None) -> bool:
         if runner is None:
             return False
-        if not self._telling.admits(runner.started):
+        if not self._start_reports.admits(runner.started):
             self.note_malformed(stored, ValueError("it doesn't tell its start"))
             return False
         return True
 
-    def _find_start(self, stored: StoredObject) -> int:
+    def _decode_start(self, stored: StoredObject) -> int:
         """Return the start of the life that an entry told of before it went."""
         try:
             return self._decode_runner(stored.name, stored.spec).started
@@ -391,8 +391,8 @@
         try:
             runner = self._decode_runner(stored.name, stored.spec)
         except ValueError as error:
-            self._telling.forget(stored.name)
+            self._start_reports.forget(stored.name)
             self.note_malformed(stored, error)
             return None
-        self._telling.note(stored.name, runner.started)
+        self._start_reports.note(stored.name, runner.started)
         return runner
--- a/knapweedrail/relay/links.py
+++ b/knapweedrail/relay/links.py
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class KindState:
+class EncodedUpdate:
     """What is told of one kind.
 
     Attributes:
@@ -54,7 +54,7 @@
     """
 
     clock: float
-    kinds: tuple[KindState, ...]
+    kinds: tuple[EncodedUpdate, ...]
 
 
 class FollowerLink(ABC):
@@ -64,7 +64,7 @@
     """
 
     @abstractmethod
-    async def send(self, reading: Reading) -> None:
+    async def send(self, request: Reading) -> None:
         """Tell a reading."""
 
     @abstractmethod
@@ -80,7 +80,7 @@
         """Wait for the next reading."""
 
     @abstractmethod
-    async def send(self, telling: Telling) -> None:
+    async def send(self, reply: Telling) -> None:
         """Tell what is known."""
 
 
--- a/knapweedrail/relay/members.py
+++ b/knapweedrail/relay/members.py
@@ -28,7 +28,7 @@
 a relay that is gone goes on to the next; the list may be stale, which costs a tenth of
 a call."""
 
-LISTED_RELAYS = 100
+MAX_RELAYS_AT_BASE_INTERVAL = 100
 """Relays from which on the pause grows with their number. An entry is 231 bytes; 500
 of them every five seconds would be all of the 23 KB/s that a host has for control."""
 
@@ -36,11 +36,11 @@
 """Pause before each list that a relay waits for which was never listed before. Relays
 that start together enter themselves within it."""
 
-SETTLED_LISTS = 2
+LISTS_UNTIL_SETTLED = 2
 """Lists with a relay's own entry after which it knows those that entered themselves at
 the same time. A list may be old; one that shows the entry is younger than that."""
 
-MOST_LISTS = 5
+MAX_STALE_LISTS = 5
 """Lists that may be old which a relay waits for, before it has a new one."""
 
 RETRY_SECONDS = 0.5
@@ -53,7 +53,7 @@
 
 def compute_pause(relays: int) -> float:
     """Return the pause between two lists of so many relays, seconds."""
-    return LIST_SECONDS * max(1.0, relays / LISTED_RELAYS)
+    return LIST_SECONDS * max(1.0, relays / MAX_RELAYS_AT_BASE_INTERVAL)
 
 
 def rank_lenders(account: str, members: Iterable[Member]) -> list[Member]:
@@ -107,16 +107,16 @@
         self._malformed = malformed or MalformedObjects()
         self.member = member
         self.settled = False
-        self.looked = anyio.Event()
-        self._known_before = False
-        self._listed = False
+        self.first_listed = anyio.Event()
+        self._previously_registered = False
+        self._own_entry_listed = False
         self._revision: int | None = None
-        self._spoilt = False
+        self._own_entry_malformed = False
         self._store = store
         self._members: dict[str, Member] = {member.host: member}
-        self._kept: dict[str, bool] = {}
+        self._first_ranked_by_account: dict[str, bool] = {}
         self._senders = Senders(member.host)
-        self._ranked: tuple[list[Member], list[Member]] | None = None
+        self._planned_sources: tuple[list[Member], list[Member]] | None = None
 
     @property
     def count(self) -> int:
@@ -151,11 +151,11 @@
         """
         if not self.settled:
             return False
-        if account not in self._kept:
-            self._kept[account] = self._ranks_first(account)
-        return self._kept[account]
+        if account not in self._first_ranked_by_account:
+            self._first_ranked_by_account[account] = self._is_first_ranked(account)
+        return self._first_ranked_by_account[account]
 
-    def _ranks_first(self, account: str) -> bool:
+    def _is_first_ranked(self, account: str) -> bool:
         here = [
             member
             for member in self._members.values()
@@ -194,36 +194,36 @@
 
     def list_sources(self) -> tuple[list[Member], list[Member]]:
         """Return the relays whose news to follow, for each source the best first."""
-        if self._ranked is None:
-            self._ranked = plan_sources(self.list_all(), self.member)
-        return self._ranked
+        if self._planned_sources is None:
+            self._planned_sources = plan_sources(self.list_all(), self.member)
+        return self._planned_sources
 
     async def run(self) -> None:
         while not await self._list(stale=True):
             await anyio.sleep(RETRY_SECONDS)
-        self.looked.set()
-        while not await self._enter():
+        self.first_listed.set()
+        while not await self._register():
             await anyio.sleep(RETRY_SECONDS)
-        if not self._known_before:
-            await self._wait_for_others()
+        if not self._previously_registered:
+            await self._wait_until_settled()
         self.settled = True
         log_event(Event.RELAYS_LISTED, relays=self.count, settled=True)
         while True:
             await anyio.sleep(compute_pause(self.count) * random.uniform(0.8, 1.2))
             await self._list(stale=True)
-            if self._spoilt:
+            if self._own_entry_malformed:
                 # Relays that start later can't read it, and would do without this one.
-                self._spoilt = not await self._enter()
+                self._own_entry_malformed = not await self._register()
 
-    async def _wait_for_others(self) -> None:
+    async def _wait_until_settled(self) -> None:
         """Wait until relays that start at the same time are listed; before, each would
         take itself for the only one."""
         shown = 0
-        for _ in range(MOST_LISTS):
+        for _ in range(MAX_STALE_LISTS):
             await anyio.sleep(SETTLE_SECONDS)
-            if await self._list(stale=True) and self._listed:
+            if await self._list(stale=True) and self._own_entry_listed:
                 shown += 1
-            if shown == SETTLED_LISTS:
+            if shown == LISTS_UNTIL_SETTLED:
                 return
         while not await self._list(stale=False):
             await anyio.sleep(RETRY_SECONDS)
@@ -232,7 +232,7 @@
         """Take this relay's entry out of the store."""
         await self._store.delete(MEMBER_KIND, self.member.host)
 
-    async def _enter(self) -> bool:
+    async def _register(self) -> bool:
         """Write this relay's entry; return whether that took effect."""
         spec = encode_member(self.member)
         if self._revision is None:
@@ -244,7 +244,7 @@
         match outcome:
             case Conflict(stored):
                 # An earlier life of this host is listed, and so are the others' lives.
-                self._known_before = True
+                self._previously_registered = True
                 self._revision = stored.revision
                 outcome = await self._store.replace(
                     MEMBER_KIND, self.member.host, spec, stored.revision
@@ -258,24 +258,24 @@
         outcome = await self._store.list_kind(MEMBER_KIND, stale=stale)
         if not isinstance(outcome, Listing):
             return False
-        found = {m.host: m for m in map(self._read_member, outcome.objects) if m}
+        found = {m.host: m for m in map(self._decode_entry, outcome.objects) if m}
         for stored in outcome.objects:
             if stored.name == self.member.host:
                 self._revision = stored.revision
-                self._known_before = True
+                self._previously_registered = True
         own = found.get(self.member.host)
-        self._listed = own is not None and own.holder == self.member.holder
+        self._own_entry_listed = own is not None and own.holder == self.member.holder
         found[self.member.host] = self.member
         if set(found) != set(self._members):
             seconds = round(time.monotonic() - began_at, 3)
             log_event(Event.RELAYS_LISTED, relays=len(found), seconds=seconds)
         self._members = found
-        self._kept.clear()
+        self._first_ranked_by_account.clear()
         self._senders.set_names(found)
-        self._ranked = None
+        self._planned_sources = None
         return True
 
-    def _read_member(self, stored: StoredObject) -> Member | None:
+    def _decode_entry(self, stored: StoredObject) -> Member | None:
         """Return the relay that an entry names, or that it named while it was sound.
 
         A relay whose entry another writer spoils goes on taking part. Left out, it
@@ -290,7 +290,7 @@
                 MEMBER_KIND, stored.name, stored.revision, str(error), now
             )
             if stored.name == self.member.host:
-                self._spoilt = True
+                self._own_entry_malformed = True
             return self._members.get(stored.name)
 
 
--- a/knapweedrail/relay/neighbours.py
+++ b/knapweedrail/relay/neighbours.py
@@ -27,7 +27,7 @@
     TradeReply,
     TradeRequest,
 )
-from .dialers import GrpcWatcherLink
+from .dialers import GrpcSubscriberLink
 from .links import WatcherLink
 from .models import Member
 from .reservations import Shortage
@@ -40,21 +40,21 @@
 """How much longer a lender may take that has to ask the ledger first: some tens of its
 answers. It leaves a caller that waits for tokens time to ask one more relay."""
 
-AVOID_SECONDS = 2.0
-LONGEST_AVOID_SECONDS = 8.0
+MIN_BACKOFF_SECONDS = 2.0
+MAX_BACKOFF_SECONDS = 8.0
 """How long a relay that didn't answer isn't asked again: about the time in which a dead
 one is replaced, doubled at each silence, as the list keeps those that never return. A
 fleet must serve again within some twelve seconds after a loss."""
 
-EMPTY_SECONDS = 0.5
+SHORTAGE_CACHE_SECONDS = 0.5
 """How long a relay that had nothing of an account isn't asked for it again. A budget
 that is spent everywhere would otherwise cost a call to each relay for each request."""
 
-MOST_TOLD = 16
+MAX_SUSPECT_RECIPIENTS = 16
 """Relays told of a crash's requests. A caller that sends one again reaches any relay;
 with sixteen that know, and more told at each further crash, it ends after some more."""
 
-MOST_LINES = 100
+MAX_ENTRIES_PER_CALL = 100
 """Requests told of at a time: more than one relay has at one runner."""
 
 
@@ -96,7 +96,7 @@
 
 
 @attrs.frozen
-class Silence:
+class Backoff:
     """Calls in a row that a relay's present life didn't answer.
 
     Attributes:
@@ -106,24 +106,26 @@
     """
 
     holder: str
-    count: int
-    avoided_until: float
+    failures: int
+    ends_at: float
 
 
-_SHORTAGES = {
+_SHORTAGE_TO_WIRE = {
     Shortage.SPENT: TradeReply.SPENT,
     Shortage.HELD_ELSEWHERE: TradeReply.HELD_ELSEWHERE,
     Shortage.OUT_OF_REACH: TradeReply.OUT_OF_REACH,
 }
-_FROM_WIRE = {number: shortage for shortage, number in _SHORTAGES.items()}
+_SHORTAGE_FROM_WIRE = {
+    number: shortage for shortage, number in _SHORTAGE_TO_WIRE.items()
+}
 
-HearSuspects = Callable[[list[str]], None]
+SuspectsHandler = Callable[[list[str]], None]
 """Takes what another relay told of requests that were on runners as these crashed."""
 
-HearLimits = Callable[[list[LimitNews]], None]
+LimitsHandler = Callable[[list[LimitNews]], None]
 """Takes what another relay told of runners' limits."""
 
-TellNews = Callable[[WatcherLink], Awaitable[None]]
+FeedHandler = Callable[[WatcherLink], Awaitable[None]]
 """Tells a relay that follows this one what is known of the store."""
 
 
@@ -140,27 +142,31 @@
 
     def __init__(self) -> None:
         self._channels: dict[str, Channel] = {}
-        self._silences: dict[str, Silence] = {}
-        self._empty: dict[tuple[str, str], tuple[float, Shortage | None]] = {}
+        self._backoffs: dict[str, Backoff] = {}
+        self._recent_shortages: dict[
+            tuple[str, str], tuple[float, Shortage | None]
+        ] = {}
 
     def is_avoided(self, member: Member, now: float) -> bool:
         """Return whether a relay's present life was silent lately."""
-        silence = self._silences.get(member.address)
-        if silence is None or silence.holder != member.holder:
+        backoff = self._backoffs.get(member.address)
+        if backoff is None or backoff.holder != member.holder:
             return False
-        return now < silence.avoided_until
+        return now < backoff.ends_at
 
     def note_heard(self, holder: str) -> None:
         """Take in that a relay has called this one, so it can be reached."""
-        for address, silence in list(self._silences.items()):
-            if silence.holder == holder:
-                del self._silences[address]
+        for address, backoff in list(self._backoffs.items()):
+            if backoff.holder == holder:
+                del self._backoffs[address]
 
     def recall_shortage(
         self, member: Member, account: str, now: float
     ) -> Shortage | None:
         """Return why a relay had too few tokens of an account a moment ago."""
-        until, shortage = self._empty.get((member.address, account), (0.0, None))
+        until, shortage = self._recent_shortages.get(
+            (member.address, account), (0.0, None)
+        )
         return shortage if now < until else None
 
     async def trade(self, member: Member, trade: Trade) -> TradeAnswer | None:
@@ -173,37 +179,40 @@
             self.note_silence(member, now)
             return None
         self.note_answer(member)
-        shortage = _FROM_WIRE.get(reply.shortage)
+        shortage = _SHORTAGE_FROM_WIRE.get(reply.shortage)
         if shortage is not None:
-            until = now + EMPTY_SECONDS
-            self._empty[member.address, trade.account] = (until, shortage)
+            until = now + SHORTAGE_CACHE_SECONDS
+            self._recent_shortages[member.address, trade.account] = (until, shortage)
         return TradeAnswer(reply.lender, reply.total, shortage)
 
     def note_answer(self, member: Member) -> None:
         """Take in that a relay has answered."""
-        self._silences.pop(member.address, None)
+        self._backoffs.pop(member.address, None)
 
     def note_silence(self, member: Member, now: float) -> None:
         """Take in that a relay was called in vain."""
-        before = self._silences.get(member.address)
+        before = self._backoffs.get(member.address)
         again = before is not None and before.holder == member.holder
-        count = before.count + 1 if again else 1
-        pause = min(LONGEST_AVOID_SECONDS, AVOID_SECONDS * 2 ** (count - 1))
-        self._silences[member.address] = Silence(member.holder, count, now + pause)
+        failures = before.failures + 1 if again else 1
+        pause = min(MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS * 2 ** (failures - 1))
+        self._backoffs[member.address] = Backoff(member.holder, failures, now + pause)
 
     async def tell_suspects(self, members: list[Member], lines: list[str]) -> None:
         """Tell other relays of requests that were on runners as these crashed."""
-        request = SuspectsRequest(lines=lines[:MOST_LINES])
+        request = SuspectsRequest(lines=lines[:MAX_ENTRIES_PER_CALL])
         async with anyio.create_task_group() as group:
-            for member in members[:MOST_TOLD]:
+            for member in members[:MAX_SUSPECT_RECIPIENTS]:
                 group.start_soon(
                     self._call, member, "TellSuspects", request, CALL_SECONDS
                 )
 
     async def tell_limits(self, members: list[Member], limits: list[LimitNews]) -> None:
         """Tell other relays what is news of runners' limits."""
-        told = [RunnerLimit(**attrs.asdict(one)) for one in limits[:MOST_LINES]]
-        request = LimitsRequest(limits=told)
+        entries = [
+            RunnerLimit(**attrs.asdict(limit))
+            for limit in limits[:MAX_ENTRIES_PER_CALL]
+        ]
+        request = LimitsRequest(limits=entries)
         async with anyio.create_task_group() as group:
             for member in members:
                 group.start_soon(
@@ -227,10 +236,10 @@
         """
         replies: list[Any] = []
         async with anyio.create_task_group() as group:
-            group.start_soon(self._ask, member, method, request, seconds, replies)
+            group.start_soon(self._run_call, member, method, request, seconds, replies)
         return replies[0] if replies else None
 
-    async def _ask(
+    async def _run_call(
         self,
         member: Member,
         method: str,
@@ -255,20 +264,20 @@
         channel.close()
 
 
-class _Service(RelaysBase):
+class _RelaysService(RelaysBase):
     """Answers other relays."""
 
     def __init__(
         self,
         lender: TokenLender,
-        hear: HearSuspects,
-        tell: TellNews,
-        hear_limits: HearLimits,
+        handle_suspects: SuspectsHandler,
+        serve_feed: FeedHandler,
+        hear_limits: LimitsHandler,
     ) -> None:
         self._lender = lender
-        self._hear = hear
-        self._tell = tell
-        self._hear_limits = hear_limits
+        self._handle_suspects = handle_suspects
+        self._serve_feed = serve_feed
+        self._handle_limits = hear_limits
 
     async def Trade(self, stream: Stream) -> None:
         request = await stream.recv_message()
@@ -287,7 +296,7 @@
         )
         shortage = TradeReply.NONE
         if answer.shortage is not None:
-            shortage = _SHORTAGES[answer.shortage]
+            shortage = _SHORTAGE_TO_WIRE[answer.shortage]
         await stream.send_message(
             TradeReply(lender=answer.lender, total=answer.total, shortage=shortage)
         )
@@ -296,23 +305,23 @@
         request = await stream.recv_message()
         if request is None:
             return
-        self._hear(list(request.lines))
+        self._handle_suspects(list(request.lines))
         await stream.send_message(SuspectsReply())
 
     async def TellLimits(self, stream: Stream) -> None:
         request = await stream.recv_message()
         if request is None:
             return
-        self._hear_limits(
+        self._handle_limits(
             [
-                LimitNews(one.runner, one.started, one.rate, one.number)
-                for one in request.limits
+                LimitNews(limit.runner, limit.started, limit.rate, limit.number)
+                for limit in request.limits
             ]
         )
         await stream.send_message(LimitsReply())
 
     async def FollowNews(self, stream: Stream) -> None:
-        await self._tell(GrpcWatcherLink(stream))
+        await self._serve_feed(GrpcSubscriberLink(stream))
 
 
 def _ignore_limits(limits: list[LimitNews]) -> None:
@@ -321,10 +330,12 @@
 
 def make_server(
     lender: TokenLender,
-    hear: HearSuspects,
-    tell: TellNews,
+    handle_suspects: SuspectsHandler,
+    serve_feed: FeedHandler,
     address: str,
-    hear_limits: HearLimits = _ignore_limits,
+    hear_limits: LimitsHandler = _ignore_limits,
 ) -> RpcServer:
     """Return the server that answers other relays, not started yet."""
-    return RpcServer([_Service(lender, hear, tell, hear_limits)], address)
+    return RpcServer(
+        [_RelaysService(lender, handle_suspects, serve_feed, hear_limits)], address
+    )
--- a/knapweedrail/relay/news.py
+++ b/knapweedrail/relay/news.py
@@ -14,8 +14,8 @@
 from ..tasks import Task
 from .links import (
     Dialer,
+    EncodedUpdate,
     FollowerLink,
-    KindState,
     LinkLostError,
     Reading,
     Telling,
@@ -26,18 +26,18 @@
 from .neighbours import Neighbours
 from .replicas import News, OutOfStepError, decode_items
 from .signals import Signal
-from .sources import SOURCES, NewsTiming, Source
+from .sources import SOURCE_COUNT, NewsTiming, Source
 from .supplies import NewsTaker, Supply
 
-QUIET_FACTOR = 3.0
+SUBSCRIBER_TIMEOUT_FACTOR = 3.0
 """How many times as long as a source may be silent a follower may be, before it is no
 longer told: it may be paused, and goes on when it wakes."""
 
-LOOK_SECONDS = 0.5
+FIRST_LIST_WAIT_SECONDS = 0.5
 """How long a relay that starts waits for the list of relays before it watches the
 store for itself: some tens of the store's answers."""
 
-FIRST_START_SECONDS = 8.0
+FLEET_START_WAIT_SECONDS = 8.0
 """The same, in a fleet that starts for the first time: until its relays are listed, and
 have found whom to follow. Each would read all lists for itself otherwise."""
 
@@ -54,16 +54,16 @@
     """
 
     clock: float
-    sent: dict[str, int]
-    due: bool = True
-    wake: Signal = attrs.field(factory=Signal)
+    sent_revisions: dict[str, int]
+    reply_due: bool = True
+    update_available: Signal = attrs.field(factory=Signal)
 
-    def note_sent(self, telling: Telling) -> None:
+    def note_sent(self, reply: Telling) -> None:
         """Take in what it is told."""
-        self.due = False
-        for state in telling.kinds:
-            known = self.sent.get(state.kind, 0)
-            self.sent[state.kind] = max(known, state.revision)
+        self.reply_due = False
+        for update in reply.kinds:
+            known = self.sent_revisions.get(update.kind, 0)
+            self.sent_revisions[update.kind] = max(known, update.revision)
 
 
 class NewsFeed(Task, Supply):
@@ -83,7 +83,7 @@
         membership: Membership,
         neighbours: Neighbours,
         dialer: Dialer,
-        takers: Sequence[NewsTaker],
+        receivers: Sequence[NewsTaker],
         timing: NewsTiming,
         first_start: bool = False,
     ) -> None:
@@ -93,14 +93,14 @@
         self._membership = membership
         self._neighbours = neighbours
         self._dialer = dialer
-        self._takers = {taker.replica.kind: taker for taker in takers}
+        self._receivers = {receiver.replica.kind: receiver for receiver in receivers}
         self._timing = timing
-        self._sources: list[Source | None] = [None] * SOURCES
+        self._sources: list[Source | None] = [None] * SOURCE_COUNT
         self._subscribers: set[_Subscriber] = set()
         self._started_at = time.monotonic()
-        self._back_at = float("-inf")
-        for taker in takers:
-            taker.supply = self
+        self._available_at = float("-inf")
+        for receiver in receivers:
+            receiver.supply = self
 
     @property
     def is_followed(self) -> bool:
@@ -113,122 +113,128 @@
 
     async def run(self) -> None:
         async with anyio.create_task_group() as group:
-            await self._membership.looked.wait()
+            await self._membership.first_listed.wait()
             self.changed.give()
-            for slot in range(SOURCES):
-                group.start_soon(self._fill, slot)
+            for slot in range(SOURCE_COUNT):
+                group.start_soon(self._maintain_source, slot)
 
     def measure_rest(self, kind: str, limit: float) -> float:
         now = time.monotonic()
-        if not self._membership.looked.is_set():
-            return max(0.0, self._started_at + LOOK_SECONDS - now)
+        if not self._membership.first_listed.is_set():
+            return max(0.0, self._started_at + FIRST_LIST_WAIT_SECONDS - now)
         if self._subscribers:
             return 0.0
-        rests = [
-            source.measure_trust(kind, now, self._timing, limit)
+        delays = [
+            source.measure_validity(kind, now, self._timing, limit)
             for source in self._sources
             if source is not None
         ]
         if self._first_start:
-            rests.append(self._started_at + FIRST_START_SECONDS - now)
+            delays.append(self._started_at + FLEET_START_WAIT_SECONDS - now)
         if self._membership.count > 1:
             # Its sources are found meanwhile, which start at the same time as it does
             # when all hosts lost power.
-            rests.append(self._started_at + self._timing.silence - now)
+            delays.append(self._started_at + self._timing.timeout - now)
         if any(self._membership.list_sources()):
             # A source finds the store back at the same time, and tells of it.
-            rests.append(self._back_at + self._timing.beat - now)
-        return max(rests, default=0.0)
+            delays.append(self._available_at + self._timing.heartbeat_interval - now)
+        return max(delays, default=0.0)
 
     def note_change(self) -> None:
         for subscriber in self._subscribers:
-            subscriber.wake.give()
+            subscriber.update_available.give()
 
     def note_back(self) -> None:
-        self._back_at = time.monotonic()
+        self._available_at = time.monotonic()
 
     async def serve(self, link: WatcherLink) -> None:
         """Tell a follower what is known until it is gone."""
         try:
-            reading = await link.receive()
+            request = await link.receive()
         except LinkLostError:
             return
-        subscriber = _Subscriber(reading.clock, dict(reading.revisions))
+        subscriber = _Subscriber(request.clock, dict(request.revisions))
         self._subscribers.add(subscriber)
-        self._note_followed()
+        self._note_subscribers_changed()
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._tell, link, subscriber, group.cancel_scope)
-                await self._hear_follower(link, subscriber)
+                group.start_soon(
+                    self._send_replies, link, subscriber, group.cancel_scope
+                )
+                await self._receive_requests(link, subscriber)
                 group.cancel_scope.cancel()
         finally:
             self._subscribers.discard(subscriber)
-            self._note_followed()
+            self._note_subscribers_changed()
 
-    def _note_followed(self) -> None:
-        for taker in self._takers.values():
-            taker.replica.keep_patches = self.is_followed
+    def _note_subscribers_changed(self) -> None:
+        for receiver in self._receivers.values():
+            receiver.replica.keep_patches = self.is_followed
         self.changed.give()
 
-    async def _hear_follower(self, link: WatcherLink, subscriber: _Subscriber) -> None:
+    async def _receive_requests(
+        self, link: WatcherLink, subscriber: _Subscriber
+    ) -> None:
         try:
             while True:
-                with anyio.fail_after(QUIET_FACTOR * self._timing.silence):
-                    reading = await link.receive()
-                subscriber.clock = reading.clock
-                subscriber.due = True
-                subscriber.wake.give()
+                with anyio.fail_after(SUBSCRIBER_TIMEOUT_FACTOR * self._timing.timeout):
+                    request = await link.receive()
+                subscriber.clock = request.clock
+                subscriber.reply_due = True
+                subscriber.update_available.give()
         except (LinkLostError, TimeoutError):
             return
 
-    async def _tell(
+    async def _send_replies(
         self, link: WatcherLink, subscriber: _Subscriber, scope: anyio.CancelScope
     ) -> None:
         try:
             while True:
-                telling = self._make_telling(subscriber)
-                if subscriber.due or any(state.changes for state in telling.kinds):
-                    subscriber.note_sent(telling)
-                    await link.send(telling)
+                reply = self._make_reply(subscriber)
+                if subscriber.reply_due or any(
+                    update.changes for update in reply.kinds
+                ):
+                    subscriber.note_sent(reply)
+                    await link.send(reply)
                     continue
-                await subscriber.wake.wait()
+                await subscriber.update_available.wait()
         except LinkLostError:
             scope.cancel()
 
-    def _make_telling(self, subscriber: _Subscriber) -> Telling:
+    def _make_reply(self, subscriber: _Subscriber) -> Telling:
         kinds = [
-            self._describe(taker, subscriber.sent.get(kind, 0))
-            for kind, taker in self._takers.items()
+            self._make_update(receiver, subscriber.sent_revisions.get(kind, 0))
+            for kind, receiver in self._receivers.items()
         ]
         return Telling(subscriber.clock, tuple(kinds))
 
-    def _describe(self, taker: NewsTaker, sent: int) -> KindState:
-        replica = taker.replica
-        age = time.monotonic() - taker.confirmed_at
-        return KindState(
+    def _make_update(self, receiver: NewsTaker, sent_revision: int) -> EncodedUpdate:
+        replica = receiver.replica
+        age = time.monotonic() - receiver.confirmed_at
+        return EncodedUpdate(
             kind=replica.kind,
-            since=replica.find_base(sent),
+            since=replica.find_base(sent_revision),
             revision=replica.revision,
-            changes=replica.tell(sent),
+            changes=replica.encode_changes(sent_revision),
             age=age if math.isfinite(age) else None,
         )
 
-    async def _fill(self, slot: int) -> None:
+    async def _maintain_source(self, slot: int) -> None:
         """Keep one source, the best that answers."""
         while True:
-            member = self._choose(slot)
+            member = self._choose_source(slot)
             if member is None:
-                await anyio.sleep(self._timing.beat)
+                await anyio.sleep(self._timing.heartbeat_interval)
                 continue
             source = Source(member, time.monotonic())
             self._sources[slot] = source
-            answered = await self._follow(slot, source)
+            answered = await self._subscribe(slot, source)
             self._sources[slot] = None
             if not answered:
                 self._neighbours.note_silence(member, time.monotonic())
             self.changed.give()
 
-    def _choose(self, slot: int) -> Member | None:
+    def _choose_source(self, slot: int) -> Member | None:
         now = time.monotonic()
         others = {
             source.member.host
@@ -241,11 +247,11 @@
             return member
         return None
 
-    def _is_best(self, slot: int, member: Member) -> bool:
-        best = self._choose(slot)
+    def _is_best_source(self, slot: int, member: Member) -> bool:
+        best = self._choose_source(slot)
         return best is not None and best.host == member.host
 
-    async def _follow(self, slot: int, source: Source) -> bool:
+    async def _subscribe(self, slot: int, source: Source) -> bool:
         """Follow a relay until it is silent, or a better one is found.
 
         In a task of its own: when a connection breaks, the RPC library cancels each
@@ -254,22 +260,24 @@
         Returns:
             Whether it was heard to the end.
         """
-        ended = anyio.Event()
+        source_lost = anyio.Event()
         async with anyio.create_task_group() as group:
-            group.start_soon(self._converse, slot, source, ended)
-        return not ended.is_set()
+            group.start_soon(self._run_subscription, slot, source, source_lost)
+        return not source_lost.is_set()
 
-    async def _converse(self, slot: int, source: Source, ended: anyio.Event) -> None:
+    async def _run_subscription(
+        self, slot: int, source: Source, source_lost: anyio.Event
+    ) -> None:
         log_event(Event.SOURCE_CHOSEN, slot=slot, source=source.member.holder)
         async with self._dialer.dial(source.member) as link:
-            await self._send_reading(link, ended)
-            if not ended.is_set():
+            await self._send_request(link, source_lost)
+            if not source_lost.is_set():
                 async with anyio.create_task_group() as group:
-                    group.start_soon(self._listen, link, source, ended)
-                    await self._keep_reading(slot, link, source, ended)
+                    group.start_soon(self._receive_replies, link, source, source_lost)
+                    await self._send_heartbeats(slot, link, source, source_lost)
                     group.cancel_scope.cancel()
-        if ended.is_set():
-            unheard = round(time.monotonic() - source.heard_at, 3)
+        if source_lost.is_set():
+            unheard = round(time.monotonic() - source.last_reply_at, 3)
             log_event(
                 Event.SOURCE_LOST,
                 slot=slot,
@@ -277,70 +285,73 @@
                 unheard=unheard,
             )
 
-    async def _keep_reading(
-        self, slot: int, link: FollowerLink, source: Source, ended: anyio.Event
+    async def _send_heartbeats(
+        self, slot: int, link: FollowerLink, source: Source, source_lost: anyio.Event
     ) -> None:
         """Ask for word again and again, until the source is silent or a better one is
         found."""
         while True:
-            with anyio.move_on_after(self._timing.beat):
-                await ended.wait()
-            if source.is_silent(time.monotonic(), self._timing):
-                ended.set()
-            if ended.is_set() or not self._is_best(slot, source.member):
+            with anyio.move_on_after(self._timing.heartbeat_interval):
+                await source_lost.wait()
+            if source.has_timed_out(time.monotonic(), self._timing):
+                source_lost.set()
+            if source_lost.is_set() or not self._is_best_source(slot, source.member):
                 return
-            await self._send_reading(link, ended)
+            await self._send_request(link, source_lost)
 
-    async def _send_reading(self, link: FollowerLink, ended: anyio.Event) -> None:
+    async def _send_request(self, link: FollowerLink, source_lost: anyio.Event) -> None:
         revisions = {
-            kind: taker.replica.revision for kind, taker in self._takers.items()
+            kind: receiver.replica.revision
+            for kind, receiver in self._receivers.items()
         }
         try:
             # The first one opens the connection: a host without power gives no answer.
-            with anyio.fail_after(self._timing.beat):
+            with anyio.fail_after(self._timing.heartbeat_interval):
                 await link.send(Reading(time.monotonic(), revisions))
         except (LinkLostError, TimeoutError):
-            ended.set()
+            source_lost.set()
 
-    async def _listen(
-        self, link: FollowerLink, source: Source, ended: anyio.Event
+    async def _receive_replies(
+        self, link: FollowerLink, source: Source, source_lost: anyio.Event
     ) -> None:
         try:
             while True:
-                telling = await link.receive()
-                source.note_heard(time.monotonic())
+                reply = await link.receive()
+                source.note_reply(time.monotonic())
                 self._neighbours.note_answer(source.member)
-                for state in telling.kinds:
-                    self._take(source, telling.clock, state)
+                for update in reply.kinds:
+                    self._apply_update(source, reply.clock, update)
         except (LinkLostError, OutOfStepError, ValueError) as error:
             log_event(
                 Event.NEIGHBOUR_SILENT,
                 neighbour=source.member.holder,
                 error=repr(error),
             )
-            ended.set()
+            source_lost.set()
 
-    def _take(self, source: Source, clock: float, state: KindState) -> None:
+    def _apply_update(
+        self, source: Source, clock: float, update: EncodedUpdate
+    ) -> None:
         """Take in what a source tells of one kind.
 
         Raises:
             OutOfStepError: If it doesn't lead on from what is known here.
             ValueError: If it can't be decoded.
         """
-        taker = self._takers.get(state.kind)
-        if taker is None:
+        receiver = self._receivers.get(update.kind)
+        if receiver is None:
             return
         news = News(
-            state.kind, state.since, state.revision, decode_items(state.changes)
+            update.kind, update.since, update.revision, decode_items(update.changes)
         )
         confirmed_at = float("-inf")
-        if state.age is not None:
-            confirmed_at = clock - state.age
+        if update.age is not None:
+            confirmed_at = clock - update.age
         try:
-            taker.take_news(news, confirmed_at)
+            receiver.take_news(news, confirmed_at)
         except OutOfStepError:
-            if not taker.fetching:
+            if not receiver.fetching:
                 raise
             return
-        if state.age is not None:
-            source.note_confirmed(state.kind, clock, state.age)
+        if update.age is not None:
+            source.note_confirmed(update.kind, clock, update.age)
--- a/knapweedrail/relay/reach.py
+++ b/knapweedrail/relay/reach.py
@@ -12,8 +12,8 @@
 from ..outcomes import Unavailable
 from .stores import Store
 
-FIRST_PAUSE_SECONDS = 0.2
-LONGEST_PAUSE_SECONDS = 1.0
+MIN_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 1.0
 """Least times between calls while the store is away, doubled each time. All relays call
 again when it returns; a second is soon enough for every bound that the operators set,
 and spreads their calls."""
@@ -36,43 +36,43 @@
         self._store = store
         self._kind = kind
         self._name = name
-        self._waiting: set[anyio.CancelScope] = set()
-        self._finding = anyio.Lock()
-        self._back_at = float("-inf")
-        self._pause = FIRST_PAUSE_SECONDS
+        self._abandonable_calls: set[anyio.CancelScope] = set()
+        self._probe_lock = anyio.Lock()
+        self._available_at = float("-inf")
+        self._backoff = MIN_BACKOFF_SECONDS
 
     @contextlib.contextmanager
-    def wait(self) -> Iterator[None]:
+    def abandon_on_recovery(self) -> Iterator[None]:
         """Run a call that is given up when the store is found back."""
         with anyio.CancelScope() as scope:
-            self._waiting.add(scope)
+            self._abandonable_calls.add(scope)
             try:
                 yield
             finally:
-                self._waiting.discard(scope)
+                self._abandonable_calls.discard(scope)
 
-    def note_answer(self) -> None:
+    def reset_backoff(self) -> None:
         """Take in that a follower's call was answered."""
-        self._pause = FIRST_PAUSE_SECONDS
+        self._backoff = MIN_BACKOFF_SECONDS
 
-    async def find_back(self, waited: float) -> None:
+    async def wait_until_available(self, waited: float) -> None:
         """Return when the store answers again.
 
         Args:
             waited: How long the call lasted that found it away, seconds.
         """
-        away_at = time.monotonic()
-        async with self._finding:
-            if self._back_at > away_at:
+        unavailable_at = time.monotonic()
+        async with self._probe_lock:
+            if self._available_at > unavailable_at:
                 return
-            await anyio.sleep(self._draw_pause(waited))
-            while (seconds := await self._try_read()) is not None:
-                await anyio.sleep(self._draw_pause(seconds))
-            self._back_at = time.monotonic()
-        for scope in list(self._waiting):
+            await anyio.sleep(self._draw_backoff(waited))
+            while (seconds := await self._probe()) is not None:
+                await anyio.sleep(self._draw_backoff(seconds))
+            self._available_at = time.monotonic()
+        for scope in list(self._abandonable_calls):
             scope.cancel()
 
-    async def _try_read(self) -> float | None:
+    async def _probe(self) -> float | None:
         """Return how long a read lasted if it failed."""
         began_at = time.monotonic()
         outcome = await self._store.peek(self._kind, self._name)
@@ -80,8 +80,8 @@
             return time.monotonic() - began_at
         return None
 
-    def _draw_pause(self, waited: float) -> float:
+    def _draw_backoff(self, waited: float) -> float:
         """Return the pause after a call that failed, less for one that took long."""
-        pause = max(FIRST_PAUSE_SECONDS, self._pause - waited)
-        self._pause = min(LONGEST_PAUSE_SECONDS, 2 * self._pause)
-        return pause * random.uniform(0.5, 1.0)
+        backoff = max(MIN_BACKOFF_SECONDS, self._backoff - waited)
+        self._backoff = min(MAX_BACKOFF_SECONDS, 2 * self._backoff)
+        return backoff * random.uniform(0.5, 1.0)
--- a/knapweedrail/relay/replicas.py
+++ b/knapweedrail/relay/replicas.py
@@ -18,24 +18,24 @@
 from .patches import apply_patch, make_patch
 from .stores import Change, StoredObject, Unreadable
 
-MOST_REMOVED = 1000
+MAX_REMOVED_OBJECTS = 1000
 """Objects that are gone and still told of. A reader that hasn't heard of the oldest
 gets the whole list."""
 
-LARGE_BYTES = 2048
+LARGE_OBJECT_BYTES = 2048
 """Size from which on an object is told by its difference. Runners' entries are a few
 hundred bytes, configurations tens of thousands and more."""
 
-MOST_BYTES = 32_768
+MAX_UPDATE_BYTES = 32_768
 """Largest object or difference that is told to others. One relay of a data centre tells
 some eighty, over a link that carries a megabyte a second; the store's is a hundred
 times as wide, so that what is larger is fetched there."""
 
-MOST_PATCHES = 32
+MAX_PATCHES = 32
 """Differences kept of one object."""
 
 
-class Told(enum.StrEnum):
+class UpdateForm(enum.StrEnum):
     """How a change is told."""
 
     WRITTEN = "written"
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class NewsItem:
+class ObjectUpdate:
     """One object that has changed.
 
     Attributes:
@@ -60,7 +60,7 @@
 
     name: str
     revision: int
-    told: Told
+    form: UpdateForm
     value: Any = None
     base: int = 0
 
@@ -77,7 +77,7 @@
     kind: str
     since: int
     revision: int
-    items: tuple[NewsItem, ...] = ()
+    items: tuple[ObjectUpdate, ...] = ()
 
 
 class OutOfStepError(Exception):
@@ -87,9 +87,9 @@
         fetch: Whether what it tells of has to be read from the store.
     """
 
-    def __init__(self, reason: str, fetch: bool) -> None:
+    def __init__(self, reason: str, needs_fetch: bool) -> None:
         super().__init__(reason)
-        self.fetch = fetch
+        self.needs_fetch = needs_fetch
 
 
 @attrs.frozen
@@ -112,7 +112,7 @@
 
     kind: str
     revision: int = 0
-    oldest: int = 0
+    oldest_revision: int = 0
     keep_patches: bool = False
     _objects: dict[str, StoredObject] = attrs.field(factory=dict)
     _removed: OrderedDict[str, tuple[int, StoredObject]] = attrs.field(
@@ -121,7 +121,7 @@
     _patches: dict[str, list[_Patch]] = attrs.field(factory=dict)
     _encoded: dict[int, bytes] = attrs.field(factory=dict)
 
-    def replace_all(self, objects: tuple[StoredObject, ...], revision: int) -> bool:
+    def apply_list(self, objects: tuple[StoredObject, ...], revision: int) -> bool:
         """Take in a whole list; return whether it is news.
 
         A list may be as of an earlier revision than what is known; it tells nothing.
@@ -129,7 +129,7 @@
         if revision <= self.revision:
             return False
         if not self.revision:
-            self.oldest = revision
+            self.oldest_revision = revision
         names = {stored.name for stored in objects}
         for name in [name for name in self._objects if name not in names]:
             self._remove(self._objects[name], revision)
@@ -138,15 +138,15 @@
         self._advance(revision)
         return True
 
-    def select(self, changes: tuple[Change, ...], revision: int) -> list[Change]:
+    def apply_changes(self, changes: tuple[Change, ...], revision: int) -> list[Change]:
         """Take in what the store says of changes; return those that are news."""
         if revision <= self.revision:
             return []
-        found = [change for change in changes if self._take(change, revision)]
+        found = [change for change in changes if self._apply_change(change, revision)]
         self._advance(revision)
         return found
 
-    def take_news(self, news: News) -> list[Change]:
+    def merge_update(self, news: News) -> list[Change]:
         """Take in what another relay tells; return what changed by it.
 
         Raises:
@@ -155,18 +155,18 @@
         if news.revision <= self.revision:
             return []
         if news.since > self.revision:
-            raise OutOfStepError(f"leads on from {news.since}", fetch=False)
-        found = [self._decode(item) for item in news.items]
+            raise OutOfStepError(f"leads on from {news.since}", needs_fetch=False)
+        found = [self._decode_item(item) for item in news.items]
         if not news.since:
             named = {item.name for item in news.items}
             gone = [self._objects[n] for n in self._objects if n not in named]
             found.extend(Change(stored, removed=True) for stored in gone)
         if not self.revision:
-            self.oldest = news.revision
-        patched = {i.name: i for i in news.items if i.told is Told.PATCHED}
+            self.oldest_revision = news.revision
+        patched = {i.name: i for i in news.items if i.form is UpdateForm.PATCHED}
         for item in patched.values():
-            self._keep_patches(item)
-        changed = [change for change in found if not self._knows(change)]
+            self._record_received_patches(item)
+        changed = [change for change in found if not self._is_applied(change)]
         for change in changed:
             if change.removed:
                 self._remove(change.stored, news.revision)
@@ -175,7 +175,7 @@
         self._advance(news.revision)
         return changed
 
-    def tell(self, since: int) -> bytes:
+    def encode_changes(self, since: int) -> bytes:
         """Return what changed since a revision, encoded; empty if nothing did.
 
         Args:
@@ -191,13 +191,13 @@
 
     def find_base(self, since: int) -> int:
         """Return the revision that what is told leads on from; 0 for all there is."""
-        return since if since >= self.oldest else 0
+        return since if since >= self.oldest_revision else 0
 
     def _advance(self, revision: int) -> None:
         self.revision = revision
         self._encoded.clear()
 
-    def _take(self, change: Change, revision: int) -> bool:
+    def _apply_change(self, change: Change, revision: int) -> bool:
         stored = change.stored
         known = self._objects.get(stored.name)
         if known is not None:
@@ -218,7 +218,7 @@
         if known is not None and known.revision >= stored.revision:
             return
         if known is not None and compare and self.keep_patches:
-            self._compare(known, stored)
+            self._record_patch(known, stored)
         self._objects[stored.name] = stored
         self._removed.pop(stored.name, None)
 
@@ -227,17 +227,17 @@
         self._patches.pop(stored.name, None)
         self._removed[stored.name] = (revision, stored)
         self._removed.move_to_end(stored.name)
-        if len(self._removed) > MOST_REMOVED:
-            _, (oldest, _) = self._removed.popitem(last=False)
-            self.oldest = max(self.oldest, oldest)
+        if len(self._removed) > MAX_REMOVED_OBJECTS:
+            _, (oldest_revision, _) = self._removed.popitem(last=False)
+            self.oldest_revision = max(self.oldest_revision, oldest_revision)
 
-    def _knows(self, change: Change) -> bool:
+    def _is_applied(self, change: Change) -> bool:
         known = self._objects.get(change.stored.name)
         if change.removed:
             return known is None and change.stored.name in self._removed
         return known is not None and known.revision >= change.stored.revision
 
-    def _compare(self, known: StoredObject, stored: StoredObject) -> None:
+    def _record_patch(self, known: StoredObject, stored: StoredObject) -> None:
         """Keep the difference between two versions of a large object."""
         unreadable = isinstance(known.spec, Unreadable)
         if unreadable or isinstance(stored.spec, Unreadable) or _is_small(stored):
@@ -251,9 +251,9 @@
         if kept and kept[-1].revision != base:
             kept.clear()
         kept.append(_Patch(base, revision, patch, len(orjson.dumps(patch))))
-        del kept[:-MOST_PATCHES]
+        del kept[:-MAX_PATCHES]
 
-    def _keep_patches(self, item: NewsItem) -> None:
+    def _record_received_patches(self, item: ObjectUpdate) -> None:
         """Pass on differences that another relay worked out."""
         known = self._objects.get(item.name)
         if not self.keep_patches or known is None or known.revision != item.base:
@@ -264,35 +264,44 @@
             self._add_patch(item.name, base, item.revision if last else revision, patch)
             base = revision
 
-    def _list_items(self, since: int) -> list[NewsItem]:
+    def _list_items(self, since: int) -> list[ObjectUpdate]:
         base = self.find_base(since)
         items = [
-            self._render(stored, base)
+            self._make_item(stored, base)
             for stored in self._objects.values()
             if not base or stored.revision > base
         ]
         if base:
             items.extend(
-                NewsItem(name, stored.revision, Told.REMOVED, _get_spec(stored))
+                ObjectUpdate(
+                    name,
+                    stored.revision,
+                    UpdateForm.REMOVED,
+                    _get_readable_spec(stored),
+                )
                 for name, (revision, stored) in self._removed.items()
                 if revision > base
             )
         return items
 
-    def _render(self, stored: StoredObject, base: int) -> NewsItem:
+    def _make_item(self, stored: StoredObject, base: int) -> ObjectUpdate:
         if isinstance(stored.spec, Unreadable):
-            return NewsItem(stored.name, stored.revision, Told.UNREADABLE)
+            return ObjectUpdate(stored.name, stored.revision, UpdateForm.UNREADABLE)
         if _is_small(stored):
-            return NewsItem(stored.name, stored.revision, Told.WRITTEN, stored.spec)
+            return ObjectUpdate(
+                stored.name, stored.revision, UpdateForm.WRITTEN, stored.spec
+            )
         patches = self._find_patches(stored.name, base) if base else []
-        if patches and sum(patch.size for patch in patches) <= MOST_BYTES:
+        if patches and sum(patch.size for patch in patches) <= MAX_UPDATE_BYTES:
             value = [[patch.revision, patch.patch] for patch in patches]
-            return NewsItem(
-                stored.name, stored.revision, Told.PATCHED, value, patches[0].base
+            return ObjectUpdate(
+                stored.name, stored.revision, UpdateForm.PATCHED, value, patches[0].base
+            )
+        if len(orjson.dumps(stored.spec)) <= MAX_UPDATE_BYTES:
+            return ObjectUpdate(
+                stored.name, stored.revision, UpdateForm.WRITTEN, stored.spec
             )
-        if len(orjson.dumps(stored.spec)) <= MOST_BYTES:
-            return NewsItem(stored.name, stored.revision, Told.WRITTEN, stored.spec)
-        return NewsItem(stored.name, stored.revision, Told.LARGE)
+        return ObjectUpdate(stored.name, stored.revision, UpdateForm.LARGE)
 
     def _find_patches(self, name: str, since: int) -> list[_Patch]:
         """Return the differences that lead on from what a reader has of an object."""
@@ -302,43 +311,45 @@
             return []
         return later
 
-    def _decode(self, item: NewsItem) -> Change:
-        if item.told is Told.LARGE:
-            raise OutOfStepError(f"{item.name} is too large to be told", fetch=True)
+    def _decode_item(self, item: ObjectUpdate) -> Change:
+        if item.form is UpdateForm.LARGE:
+            raise OutOfStepError(
+                f"{item.name} is too large to be told", needs_fetch=True
+            )
         spec = item.value
-        if item.told is Told.PATCHED:
-            spec = self._apply(item)
-        elif item.told is Told.UNREADABLE:
+        if item.form is UpdateForm.PATCHED:
+            spec = self._apply_patches(item)
+        elif item.form is UpdateForm.UNREADABLE:
             spec = Unreadable()
         stored = StoredObject(item.name, item.revision, spec)
-        return Change(stored, removed=item.told is Told.REMOVED)
+        return Change(stored, removed=item.form is UpdateForm.REMOVED)
 
-    def _apply(self, item: NewsItem) -> Any:
+    def _apply_patches(self, item: ObjectUpdate) -> Any:
         known = self._objects.get(item.name)
         if known is not None and known.revision >= item.revision:
             return known.spec
         if known is None or known.revision != item.base:
-            raise OutOfStepError(f"another version of {item.name}", fetch=True)
+            raise OutOfStepError(f"another version of {item.name}", needs_fetch=True)
         try:
             spec = known.spec
             for _, patch in item.value:
                 spec = apply_patch(spec, patch)
         except (TypeError, ValueError) as error:
-            raise OutOfStepError(f"{item.name}: {error}", fetch=True) from error
+            raise OutOfStepError(f"{item.name}: {error}", needs_fetch=True) from error
         return spec
 
 
-def encode_items(items: list[NewsItem]) -> bytes:
+def encode_items(items: list[ObjectUpdate]) -> bytes:
     """Return items as they are sent."""
     return orjson.dumps(
         [
-            [item.name, item.revision, item.told.value, item.value, item.base]
+            [item.name, item.revision, item.form.value, item.value, item.base]
             for item in items
         ]
     )
 
 
-def decode_items(data: bytes) -> tuple[NewsItem, ...]:
+def decode_items(data: bytes) -> tuple[ObjectUpdate, ...]:
     """Decode items.
 
     Raises:
@@ -346,16 +357,16 @@
     """
     try:
         return tuple(
-            NewsItem(str(name), int(revision), Told(told), value, int(base))
-            for name, revision, told, value, base in orjson.loads(data or b"[]")
+            ObjectUpdate(str(name), int(revision), UpdateForm(form), value, int(base))
+            for name, revision, form, value, base in orjson.loads(data or b"[]")
         )
     except (TypeError, ValueError) as error:
         raise ValueError(f"no news: {error!r:.200}") from error
 
 
 def _is_small(stored: StoredObject) -> bool:
-    return len(orjson.dumps(stored.spec)) < LARGE_BYTES
+    return len(orjson.dumps(stored.spec)) < LARGE_OBJECT_BYTES
 
 
-def _get_spec(stored: StoredObject) -> Any:
+def _get_readable_spec(stored: StoredObject) -> Any:
     return None if isinstance(stored.spec, Unreadable) else stored.spec
--- a/knapweedrail/relay/sources.py
+++ b/knapweedrail/relay/sources.py
@@ -18,14 +18,14 @@
 from ..hashing import hash_pair
 from .models import Member
 
-SOURCES = 2
+SOURCE_COUNT = 2
 """Relays that each one follows."""
 
-LOCAL_RELAYS = 8
+MIN_LOCAL_RELAYS = 8
 """Relays from which on a data centre has a watcher of its own. With fewer, two watchers
 for all data centres together take less."""
 
-_KEY = "store-news"
+_HASH_KEY = "store-news"
 
 
 @attrs.frozen
@@ -37,8 +37,8 @@
         silence: Time after which a source that hasn't answered is given up, seconds.
     """
 
-    beat: float
-    silence: float
+    heartbeat_interval: float
+    timeout: float
 
 
 @attrs.define
@@ -52,12 +52,12 @@
     """
 
     member: Member
-    heard_at: float
+    last_reply_at: float
     confirmed_at: dict[str, float] = attrs.field(factory=dict)
 
-    def note_heard(self, now: float) -> None:
+    def note_reply(self, now: float) -> None:
         """Take in that it was heard."""
-        self.heard_at = now
+        self.last_reply_at = now
 
     def note_confirmed(self, kind: str, asked_at: float, age: float) -> None:
         """Take in how old its own word of the store is.
@@ -69,11 +69,11 @@
         known = self.confirmed_at.get(kind, float("-inf"))
         self.confirmed_at[kind] = max(known, asked_at - age)
 
-    def is_silent(self, now: float, timing: NewsTiming) -> bool:
+    def has_timed_out(self, now: float, timing: NewsTiming) -> bool:
         """Return whether it is to be given up."""
-        return now - self.heard_at >= timing.silence
+        return now - self.last_reply_at >= timing.timeout
 
-    def measure_trust(
+    def measure_validity(
         self, kind: str, now: float, timing: NewsTiming, limit: float
     ) -> float:
         """Return for how long its word will do, seconds.
@@ -84,14 +84,14 @@
         confirmed_at = self.confirmed_at.get(kind)
         if confirmed_at is None:
             return 0.0
-        until = min(self.heard_at + timing.silence, confirmed_at + limit)
+        until = min(self.last_reply_at + timing.timeout, confirmed_at + limit)
         return max(0.0, until - now)
 
 
-def rank_watchers(members: Iterable[Member]) -> list[Member]:
+def rank_sources(members: Iterable[Member]) -> list[Member]:
     """Return relays in the order in which they are chosen to watch."""
     reachable = [member for member in members if member.address]
-    return sorted(reachable, key=lambda member: hash_pair(_KEY, member.host))
+    return sorted(reachable, key=lambda member: hash_pair(_HASH_KEY, member.host))
 
 
 def plan_sources(
@@ -105,9 +105,9 @@
     Args:
         own: The relay that asks.
     """
-    ranked = rank_watchers(members)
+    ranked = rank_sources(members)
     local = [member for member in ranked if member.data_centre == own.data_centre]
-    if len(local) < LOCAL_RELAYS:
+    if len(local) < MIN_LOCAL_RELAYS:
         return _plan_fleet(ranked, own)
     following = _order_data_centres(ranked, own.data_centre)
     elsewhere = [
@@ -116,7 +116,7 @@
         for member in ranked
         if member.data_centre == data_centre
     ]
-    return _cut_before(local, own), elsewhere
+    return _list_before(local, own), elsewhere
 
 
 def _plan_fleet(ranked: list[Member], own: Member) -> tuple[list[Member], list[Member]]:
@@ -124,7 +124,7 @@
         return [], []
     apart = [m for m in ranked if m.data_centre != ranked[0].data_centre]
     second = apart or ranked[1:]
-    return _cut_before(ranked, own), _cut_before(second, own)
+    return _list_before(ranked, own), _list_before(second, own)
 
 
 def _order_data_centres(ranked: list[Member], own: str) -> list[str]:
@@ -137,6 +137,6 @@
     return names[place + 1 :] + names[:place]
 
 
-def _cut_before(ranked: list[Member], own: Member) -> list[Member]:
+def _list_before(ranked: list[Member], own: Member) -> list[Member]:
     hosts = [member.host for member in ranked]
     return ranked[: hosts.index(own.host)] if own.host in hosts else ranked
--- a/knapweedrail/relay/suspects.py
+++ b/knapweedrail/relay/suspects.py
@@ -15,13 +15,13 @@
 """Runners lost after which a request is refused. One crash meets every request that
 ran there; the same content on three lost runners is no chance."""
 
-CONFIRM_SECONDS = 3.0
+CRASH_CONFIRM_SECONDS = 3.0
 """Time in which a runner must refuse a connection, or lose its entry, after it broke
 one off, to count as crashed. A runner that merely lost an answer takes the next one."""
 
 
 @attrs.frozen
-class _Break:
+class _BrokenRequest:
     fingerprint: str
     at: float
 
@@ -45,7 +45,7 @@
 
     def __init__(self) -> None:
         self._quarantine = Quarantine(CRASHES)
-        self._breaks: dict[str, list[_Break]] = {}
+        self._broken_requests: dict[str, list[_BrokenRequest]] = {}
 
     def blocks(self, fingerprint: str, now: float) -> bool:
         """Return whether a request is refused."""
@@ -58,18 +58,20 @@
             runner: The runner's life. Each one that is lost counts, and none is
                 blamed for what an earlier one broke off.
         """
-        breaks = self._breaks.setdefault(runner, [])
-        breaks.append(_Break(fingerprint, now))
+        broken_requests = self._broken_requests.setdefault(runner, [])
+        broken_requests.append(_BrokenRequest(fingerprint, now))
 
     def note_crash(self, runner: str, now: float) -> list[str]:
         """Note that a runner seems to be gone; return what other relays should hear."""
-        breaks = self._breaks.pop(runner, [])
-        recent = {b.fingerprint for b in breaks if now - b.at < CONFIRM_SECONDS}
+        broken_requests = self._broken_requests.pop(runner, [])
+        recent = {
+            b.fingerprint for b in broken_requests if now - b.at < CRASH_CONFIRM_SECONDS
+        }
         if not recent:
             return []
         self._quarantine.note_loss(runner, sorted(recent), now)
-        told = self._quarantine.tell()
-        return [line for line in told if line.partition("|")[0] in recent]
+        records = self._quarantine.tell()
+        return [line for line in records if line.partition("|")[0] in recent]
 
     def note_good(self, fingerprint: str, now: float) -> None:
         """Note that a request has been answered well."""
@@ -81,9 +83,9 @@
 
     def prune(self, now: float) -> None:
         """Forget breaks that no crash followed."""
-        for runner, breaks in list(self._breaks.items()):
-            kept = [b for b in breaks if now - b.at < CONFIRM_SECONDS]
+        for runner, broken_requests in list(self._broken_requests.items()):
+            kept = [b for b in broken_requests if now - b.at < CRASH_CONFIRM_SECONDS]
             if kept:
-                self._breaks[runner] = kept
+                self._broken_requests[runner] = kept
             else:
-                del self._breaks[runner]
+                del self._broken_requests[runner]
--- a/knapweedrail/tests/test_relay_followers.py
+++ b/knapweedrail/tests/test_relay_followers.py
@@ -1,4 +1,4 @@
-"""How soon a relay hears what the store acknowledged, after each way to lose it."""
+"""Delay of changes in the store until a relay applies them, after outages."""
 
 import contextlib
 import socket
@@ -16,7 +16,7 @@
 from ..relay.followers import ConfigurationFollower
 from ..relay.malformed import MalformedObjects
 from ..relay.options import RelaySettings
-from ..relay.reach import FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS, StoreReach
+from ..relay.reach import MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS, StoreReach
 from ..relay.stores import Change, Missing, StoredObject
 from ..servers import HttpServer, ServerLimits
 from ..standins.objects import ObjectStore
@@ -62,7 +62,7 @@
     return attrs.evolve(relays_in_memory.make_configuration(), version=spec)
 
 
-class FollowedStore:
+class StoreFixture:
     """A store behind a link, and a relay's followers of it."""
 
     def __init__(self, objects, link, settings, client, configuration, runners):
@@ -74,7 +74,7 @@
         self.runners = runners
         self.version = 1
 
-    async def lose(self, seconds):
+    async def drop_calls(self, seconds):
         """Let the store take calls and answer none; those that wait are lost too."""
         self.objects.misbehaviour.silent = True
         self.objects.lose_waiting()
@@ -87,7 +87,7 @@
             for _ in range(count):
                 group.start_soon(self.client.peek, "config", "main")
 
-    def silence_connections(self):
+    def freeze_connections(self):
         """Let all open connections go silent for good; new ones work."""
         for connection in self.link.connections:
             connection.frozen = True
@@ -98,20 +98,20 @@
         self.objects.put("config", "main", make_configuration(self.version, routes))
         self.objects.put("servers", "i-1", RUNNER | {"state": "draining"})
 
-    def knows_all(self):
+    def is_up_to_date(self):
         known = self.configuration.configuration
         listed = self.runners.table.list_views("e", 0.0)
         return known is not None and known.version == self.version and not listed
 
-    async def check_caught_up(self):
+    async def check_catches_up_in_time(self):
         """Check that what was written is known when the bounds hold again."""
         with anyio.fail_after(self.settings.contact_milliseconds / 1000):
-            while not self.knows_all():
+            while not self.is_up_to_date():
                 await anyio.sleep(0.01)
 
 
 @contextlib.asynccontextmanager
-async def follow_store(contact, configuration, leaving):
+async def run_store_and_watchers(contact, configuration, leaving):
     objects = ObjectStore()
     async with anyio.create_task_group() as group:
         server = HttpServer(objects.app, "127.0.0.1:0", ServerLimits())
@@ -136,83 +136,83 @@
         for follower in followers:
             await follower.start(group)
         await anyio.sleep(0.3)
-        yield FollowedStore(objects, link, settings, client, *followers)
+        yield StoreFixture(objects, link, settings, client, *followers)
         group.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize("bounds", BOUNDS)
 @pytest.mark.parametrize("seconds", [0.1, 2.4, 5.2])
-async def test_a_watch_lost_in_an_outage_is_replaced_in_time(bounds, seconds):
+async def test_watch_lost_in_outage_is_replaced_in_time(bounds, seconds):
     """Guards against old configurations and runners after an outage of the store, as a
     watch that began before or in it waits for an answer that never comes."""
-    async with follow_store(*bounds) as followed:
-        await followed.lose(seconds)
-        followed.write()
-        await followed.check_caught_up()
+    async with run_store_and_watchers(*bounds) as fixture:
+        await fixture.drop_calls(seconds)
+        fixture.write()
+        await fixture.check_catches_up_in_time()
 
 
-async def test_a_second_outage_finds_no_longer_wait_than_the_first():
+async def test_repeated_outages_do_not_add_up_delays():
     """Guards against pauses and waits that add up over outages in a row."""
-    async with follow_store(*BOUNDS[0]) as followed:
+    async with run_store_and_watchers(*BOUNDS[0]) as fixture:
         for seconds in (1.0, 0.1, 2.0):
-            await followed.lose(seconds)
+            await fixture.drop_calls(seconds)
             await anyio.sleep(0.2)
-        followed.write()
-        await followed.check_caught_up()
+        fixture.write()
+        await fixture.check_catches_up_in_time()
 
 
-async def test_a_relay_that_was_cut_off_skips_the_versions_that_it_missed():
+async def test_relay_skips_missed_versions_after_partition():
     """Guards against hosts that fetch each version since a cut over a small link."""
-    async with follow_store(*BOUNDS[0]) as followed:
-        await followed.link.set_fault(ANYONE, Fault(Mode.CUT))
+    async with run_store_and_watchers(*BOUNDS[0]) as fixture:
+        await fixture.link.set_fault(ANYONE, Fault(Mode.CUT))
         for _ in range(MISSED_VERSIONS):
-            followed.write(LARGE_ROUTES)
+            fixture.write(LARGE_ROUTES)
             await anyio.sleep(0.1)
-        await followed.link.set_fault(ANYONE, Fault(delay=CHUNK_SECONDS))
-        await followed.check_caught_up()
+        await fixture.link.set_fault(ANYONE, Fault(delay=CHUNK_SECONDS))
+        await fixture.check_catches_up_in_time()
 
 
-async def test_a_large_configuration_comes_whole_over_a_small_link():
+async def test_large_configuration_arrives_over_slow_link():
     """Guards against answers that are given up each time before they have come."""
-    async with follow_store(*BOUNDS[0]) as followed:
-        await followed.link.set_fault(ANYONE, Fault(delay=5 * CHUNK_SECONDS))
-        followed.write(4 * LARGE_ROUTES)
+    async with run_store_and_watchers(*BOUNDS[0]) as fixture:
+        await fixture.link.set_fault(ANYONE, Fault(delay=5 * CHUNK_SECONDS))
+        fixture.write(4 * LARGE_ROUTES)
         with anyio.fail_after(20):
-            while not followed.knows_all():
+            while not fixture.is_up_to_date():
                 await anyio.sleep(0.01)
 
 
-async def test_an_older_version_counts_where_the_newest_cannot_be_read():
+async def test_newest_readable_version_is_used():
     """Guards against a spoilt object that hides the version before it."""
-    followed = []
+    changes = []
     follower = ConfigurationFollower(MemoryStore(), "c", 1.0, decode, "main")
     for spec in (1, 2, "spoilt"):
-        followed.append(Change(StoredObject("main", len(followed) + 5, spec), False))
-    for change in follower.order(tuple(followed)):
+        changes.append(Change(StoredObject("main", len(changes) + 5, spec), False))
+    for change in follower.sort_changes(tuple(changes)):
         follower.set(change.stored)
     assert follower.configuration.version == 2
 
 
-async def test_connections_that_go_silent_are_replaced_in_time():
+async def test_unresponsive_connections_are_replaced_in_time():
     """Guards against the next call waiting on another connection that is silent too."""
-    async with follow_store(*BOUNDS[0]) as followed:
-        await followed.open_connections(6)
-        followed.silence_connections()
-        followed.write()
-        await followed.check_caught_up()
+    async with run_store_and_watchers(*BOUNDS[0]) as fixture:
+        await fixture.open_connections(6)
+        fixture.freeze_connections()
+        fixture.write()
+        await fixture.check_catches_up_in_time()
 
 
-async def test_limits_are_in_force_as_soon_as_their_configuration():
+async def test_limits_apply_together_with_their_configuration():
     """Guards against callers cut off by the limits of an older configuration."""
-    async with follow_store(*BOUNDS[0]) as followed:
+    async with run_store_and_watchers(*BOUNDS[0]) as fixture:
         listener = socket.create_server(("127.0.0.1", 0))
-        relay = make_relay(followed.settings, listener, lambda: 0)
+        relay = make_relay(fixture.settings, listener, lambda: 0)
         async with anyio.create_task_group() as group:
             await relay.start(group)
             limits = {"maxHeaderBytes": 5000, "idleTimeoutMs": 7000}
-            followed.version += 1
-            newer = make_configuration(followed.version) | {"limits": limits}
-            followed.objects.put("config", "main", newer)
+            fixture.version += 1
+            newer = make_configuration(fixture.version) | {"limits": limits}
+            fixture.objects.put("config", "main", newer)
             await wait_for(lambda: relay._configuration.configuration is not None)
             await wait_for(lambda: relay._configuration.configuration.version == 2)
             assert relay._caller_server.limits == ServerLimits(5000, 7.0)
@@ -226,28 +226,28 @@
             await anyio.sleep(0)
 
 
-async def test_a_call_under_way_outlives_the_client_that_is_replaced():
+async def test_call_in_flight_survives_client_replacement():
     """Guards against writes whose answers are dropped as another call is overdue."""
-    async with follow_store(*BOUNDS[0]) as followed:
+    async with run_store_and_watchers(*BOUNDS[0]) as fixture:
         outcomes = []
 
-        async def peek_late():
-            outcomes.append(await followed.client.peek("config", "nothing"))
+        async def peek_with_delay():
+            outcomes.append(await fixture.client.peek("config", "nothing"))
 
-        followed.objects.misbehaviour.delay = 0.8 * ANSWER_SECONDS
+        fixture.objects.misbehaviour.delay = 0.8 * ANSWER_SECONDS
         async with anyio.create_task_group() as group:
-            followed.objects.misbehaviour.silent = True
-            group.start_soon(followed.client.peek, "config", "main")
+            fixture.objects.misbehaviour.silent = True
+            group.start_soon(fixture.client.peek, "config", "main")
             await anyio.sleep(0.7 * ANSWER_SECONDS)
-            followed.objects.misbehaviour.silent = False
-            group.start_soon(peek_late)
+            fixture.objects.misbehaviour.silent = False
+            group.start_soon(peek_with_delay)
         assert outcomes == [Missing()]
 
 
 @hypothesis.given(
     contact=strategies.integers(1800, 60_000), leaving=strategies.integers(500, 60_000)
 )
-def test_no_path_of_news_is_longer_than_its_bound(contact, leaving):
+def test_sum_of_delays_stays_within_bounds(contact, leaving):
     """Guards against waits that are each short enough and together too long."""
     settings = RelaySettings(
         host="h",
@@ -257,44 +257,44 @@
         leaving_milliseconds=leaving,
     )
     lost = settings.configuration_watch_seconds + WATCH_GRACE_SECONDS
-    rejected = max(ANSWER_SECONDS + FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS)
-    assert max(lost + FIRST_PAUSE_SECONDS, rejected) < contact / 1000
-    single = settings.runner_watch_seconds + WATCH_GRACE_SECONDS + FIRST_PAUSE_SECONDS
+    rejected = max(ANSWER_SECONDS + MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
+    assert max(lost + MIN_BACKOFF_SECONDS, rejected) < contact / 1000
+    single = settings.runner_watch_seconds + WATCH_GRACE_SECONDS + MIN_BACKOFF_SECONDS
     assert single < (contact + leaving) / 1000
     batch = settings.configuration_batch_seconds
     assert batch < settings.configuration_milliseconds / 2000
 
 
-async def test_one_read_finds_the_store_back_for_all_that_wait():
+async def test_one_probe_detects_store_recovery_for_all_waiting_calls():
     """Guards against calls that wait for an answer lost while the store was away, and
     against each follower asking for itself when it is back."""
     store = MemoryStore()
     store.away = True
     reach = StoreReach(store, "k", "n")
-    given_up = []
+    abandoned = []
 
     async def wait(name):
-        with reach.wait():
+        with reach.abandon_on_recovery():
             await anyio.sleep_forever()
-        given_up.append(name)
+        abandoned.append(name)
 
     async with anyio.create_task_group() as group:
         group.start_soon(wait, "a watch")
-        group.start_soon(reach.find_back, 0.0)
-        group.start_soon(reach.find_back, 0.0)
+        group.start_soon(reach.wait_until_available, 0.0)
+        group.start_soon(reach.wait_until_available, 0.0)
         await anyio.sleep(0.5)
-        assert not given_up
+        assert not abandoned
         reads = store.peeks
         store.away = False
-    assert given_up == ["a watch"]
+    assert abandoned == ["a watch"]
     assert store.peeks == reads + 1
 
 
-async def test_a_store_that_rejects_calls_is_not_asked_without_pause():
+async def test_probes_back_off_while_store_rejects_other_calls():
     """Guards against a loop where cheap reads are answered and others are rejected."""
     store = MemoryStore()
     reach = StoreReach(store, "k", "n")
     began_at = time.monotonic()
     for _ in range(4):
-        await reach.find_back(0.0)
-    assert time.monotonic() - began_at > 2 * FIRST_PAUSE_SECONDS
+        await reach.wait_until_available(0.0)
+    assert time.monotonic() - began_at > 2 * MIN_BACKOFF_SECONDS
--- a/knapweedrail/tests/test_relay_foreign.py
+++ b/knapweedrail/tests/test_relay_foreign.py
@@ -67,16 +67,18 @@
 @pytest.fixture(autouse=True)
 def lines(monkeypatch):
     """Fields of the log lines on malformed objects."""
-    told = []
+    logged = []
     monkeypatch.setattr(
         malformed,
         "log_event",
-        lambda event, **fields: event is Event.OBJECT_MALFORMED and told.append(fields),
+        lambda event, **fields: (
+            event is Event.OBJECT_MALFORMED and logged.append(fields)
+        ),
     )
-    return told
+    return logged
 
 
-def is_sound(spec):
+def is_valid(spec):
     # Truth values are equal to numbers, but written otherwise.
     return repr(spec) == repr(make_entry(OLD))
 
@@ -86,7 +88,7 @@
 
 
 @pytest.mark.parametrize("bad", BAD_FIELDS)
-async def test_an_entry_with_a_field_of_another_type_names_no_runner(bad):
+async def test_entry_with_invalid_field_is_ignored(bad):
     """Another program writes to the runners' kind. Taken at its word, its entry draws
     requests to an address where nobody serves them."""
     listed = Listed()
@@ -97,14 +99,14 @@
 
 
 @pytest.mark.parametrize("spec", BAD_SPECS)
-async def test_an_entry_with_parts_missing_names_no_runner(spec):
+async def test_incomplete_entry_is_ignored(spec):
     listed = Listed()
     listed.list(**{"i-1": spec, "i-0": make_entry(OLD)})
     assert list_names(listed) == ["i-0"]
 
 
 @pytest.mark.parametrize("name", ["", "a b", "a,b", "a|b", "a\r\nx: y", "é", "x" * 300])
-async def test_a_name_that_fits_no_header_names_no_runner(name):
+async def test_entry_whose_name_is_no_valid_header_value_is_ignored(name):
     """The name is sent to the runner in a header. One with a line's end in it would
     fail every request that is meant for it, or smuggle another header in."""
     listed = Listed()
@@ -112,7 +114,7 @@
     assert list_names(listed) == ["i-0"]
 
 
-async def test_a_service_that_is_named_later_is_used_then():
+async def test_runners_of_unconfigured_service_are_kept():
     """Runners of a new service start before the operator adds it. Their entries don't
     change any more once it does."""
     listed = Listed()
@@ -121,7 +123,7 @@
     assert list_names(listed, "later") == ["i-0"]
 
 
-async def test_a_runner_whose_entry_names_another_service_gets_no_calls_of_the_first():
+async def test_runner_that_changes_service_leaves_the_old_one():
     listed = Listed()
     listed.write("i-0", OLD)
     listed.write("i-0", OLD, service="nobody's")
@@ -133,7 +135,7 @@
     st.lists(st.one_of(st.just(make_entry(OLD)), bad_specs), min_size=1, max_size=50),
     st.booleans(),
 )
-def test_the_sound_entries_of_a_list_hold_whatever_the_others_are(specs, whole):
+def test_valid_entries_are_used_whatever_the_others_are(specs, whole):
     anyio.run(check_list, specs, whole)
 
 
@@ -145,8 +147,8 @@
     else:
         for name, spec in named.items():
             listed.follower.set(listed._store(name, spec))
-    sound = sorted(name for name, spec in named.items() if is_sound(spec))
-    assert sorted(list_names(listed)) == sound
+    valid = sorted(name for name, spec in named.items() if is_valid(spec))
+    assert sorted(list_names(listed)) == valid
 
 
 @settings(max_examples=60)
@@ -159,7 +161,7 @@
         max_size=30,
     )
 )
-def test_the_last_word_on_each_runner_counts_in_a_watch(changes):
+def test_last_change_of_each_runner_wins_in_a_watch(changes):
     anyio.run(check_watch, changes)
 
 
@@ -173,11 +175,11 @@
             listed.remove(name, OLD)
         else:
             listed.follower.set(listed._store(name, spec))
-    sound = sorted(name for name, spec in last.items() if is_sound(spec))
-    assert sorted(list_names(listed)) == sound
+    valid = sorted(name for name, spec in last.items() if is_valid(spec))
+    assert sorted(list_names(listed)) == valid
 
 
-async def test_a_runner_whose_entry_turns_bad_and_good_keeps_its_record():
+async def test_runner_state_survives_temporarily_malformed_entry():
     """Another writer spoils a runner's entry while requests are under way there, and
     the runner writes it anew a heartbeat later. It is the same life: what is known of
     its load still holds, and what ends meanwhile must be counted off."""
@@ -194,7 +196,7 @@
     assert view in listed.find() and view.running == 1
 
 
-async def test_runners_whose_entries_are_all_spoilt_are_a_last_resort():
+async def test_runners_with_malformed_entries_are_a_last_resort():
     """One program overwrites all entries at once. The runners are well and write them
     anew within a heartbeat; refusing everybody until then would be an outage."""
     listed = Listed()
@@ -206,7 +208,7 @@
     assert list_names(listed, now=gone_at + 2.0) == []
 
 
-async def test_an_answer_under_way_is_passed_on_as_its_runner_turns_bad():
+async def test_answer_in_flight_is_delivered_when_entry_turns_malformed():
     async def respond(stream, head):
         listed.follower.set(listed._store("i-0", "spoilt"))
         return await answer_well(stream, head)
@@ -218,7 +220,7 @@
         assert (await relay.call()).status == 200
 
 
-async def test_one_line_and_one_count_for_each_entry_and_change(lines):
+async def test_malformed_entry_is_logged_and_counted_once_per_change(lines):
     """A list is read again whenever the store drops its history. With a line for each
     bad entry each time, the lines that are left out are those on requests."""
     counted = []
@@ -235,29 +237,29 @@
     for _ in range(3):
         listed.follower.replace_all(tuple(bad))
     assert counted == ["servers"] * 50
-    assert len(lines) == malformed.LINES
+    assert len(lines) == malformed.MAX_LOG_LINES
     listed.follower.set(listed._store("i-0", {"slots": -1}))
     assert len(counted) == 51
 
 
-def test_lines_are_bounded_in_number_and_length(lines):
+def test_log_lines_are_limited_in_number_and_length(lines):
     objects = MalformedObjects()
     for number in range(2000):
         objects.note("k", "n" * 5000, number, "e", now=number / 100)
-    assert len(lines) == 2 * malformed.LINES
-    assert all(len(line["name"]) == malformed.NAME_CHARACTERS for line in lines)
+    assert len(lines) == 2 * malformed.MAX_LOG_LINES
+    assert all(len(line["name"]) == malformed.MAX_NAME_CHARACTERS for line in lines)
 
 
 @pytest.mark.parametrize(
     "spec", ["x" * 10**6, [[["y" * 10**5]]], {"service": "z" * 999}]
 )
-def test_what_is_said_of_an_entry_is_short(spec):
+def test_error_messages_on_entries_are_short(spec):
     with pytest.raises(ValueError) as caught:
         decode_runner("i-0", spec)
     assert len(str(caught.value)) < 300
 
 
-SOUND = orjson.dumps(make_entry(OLD))
+VALID_SPEC = orjson.dumps(make_entry(OLD))
 UNREADABLE = [
     b'{"service":"\xff\xfe","state":"ready"}',
     b'{"slots":NaN}',
@@ -274,19 +276,19 @@
 
 
 @pytest.mark.parametrize("spec", UNREADABLE)
-def test_bytes_that_cannot_be_read_spoil_no_other_object_of_a_page(spec):
+def test_unparsable_object_does_not_affect_others_on_the_page(spec):
     """One entry holds bytes that no parser takes. Rejected whole, the page would make
     the store count as away, and every relay would go on with the runners that it
     happened to know."""
     items = [
-        make_object(b"a", SOUND),
+        make_object(b"a", VALID_SPEC),
         make_object(b"b", spec),
-        make_object(b"c", SOUND),
+        make_object(b"c", VALID_SPEC),
     ]
     page = parse_page(b'{"entries": [%s], "asOf": 9}' % b" , ".join(items))
     assert page["asOf"] == 9
     found = [(one["metadata"]["name"], one["spec"]) for one in page["entries"]]
-    good = orjson.loads(SOUND)
+    good = orjson.loads(VALID_SPEC)
     assert found == [("a", good), ("b", Unreadable()), ("c", good)]
     watch = b'{"events":[{"removed":false,"object":%s},{"removed":true,"object":%s}]}'
     events = parse_page(watch % (items[1], items[0]))["events"]
@@ -296,13 +298,13 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"<html>", b'{"entries":[{]}', b"NaN,"])
-def test_what_is_no_page_is_an_error(body):
+def test_invalid_page_is_an_error(body):
     with pytest.raises(ValueError):
         parse_page(body)
 
 
 @given(st.binary(max_size=60))
-def test_a_page_of_any_bytes_is_read_or_an_error(body):
+def test_arbitrary_bytes_are_parsed_or_raise_value_error(body):
     for content in (body, b'{"entries":[%s],"asOf":1}' % body):
         try:
             parse_page(content)
@@ -311,7 +313,7 @@
 
 
 @given(st.recursive(st.none() | st.text() | st.integers(0, 9), st.lists, max_leaves=9))
-def test_a_page_taken_apart_is_as_it_was_but_for_the_bad_object(value):
+def test_fallback_parsing_changes_only_the_malformed_object(value):
     spec = orjson.dumps({"s": value, 'k"]}': value})
     items = b",".join([make_object(b"a", spec), make_object(b"b", b"[NaN]")])
     first, second = parse_page(b'{"entries":[%s]}' % items)["entries"]
@@ -320,24 +322,24 @@
 
 
 @pytest.mark.parametrize(
-    "telling, silent, used",
+    "with_start, without_start, used",
     [
         (3, 1, {"t0", "t1", "t2"}),
         (0, 3, {"s0", "s1", "s2"}),
         (1, 2, {"t0", "s0", "s1"}),
     ],
 )
-async def test_an_entry_that_does_not_tell_its_start_is_used_where_most_do_not(
-    telling, silent, used
+async def test_entry_without_start_time_is_used_only_where_most_lack_it(
+    with_start, without_start, used
 ):
     """Another writer puts an entry among the runners' own that lacks only their start.
     Its address would get requests that no runner serves. Where runners don't tell their
     start at all, one entry that does must not make strangers of them."""
     listed = Listed()
-    started = {f"t{number}": OLD for number in range(telling)}
-    plain = [f"s{number}" for number in range(silent)]
+    started = {f"t{number}": OLD for number in range(with_start)}
+    without_born = [f"s{number}" for number in range(without_start)]
     entries = [listed._store(name, make_entry(OLD)) for name in started]
-    for name in plain:
+    for name in without_born:
         spec = make_entry(OLD)
         del spec["born"]
         entries.append(listed._store(name, spec))
@@ -345,7 +347,7 @@
     assert {life.name for life in listed.table.list_lives()} == used
 
 
-async def test_a_follower_goes_on_beside_foreign_entries():
+async def test_watcher_continues_among_foreign_entries():
     """Fifty entries, one of them foreign, then all of them, then none, as one list and
     as a watch that goes on."""
     async with run_store() as (objects, client):
--- a/knapweedrail/tests/test_relay_neighbours.py
+++ b/knapweedrail/tests/test_relay_neighbours.py
@@ -17,14 +17,14 @@
 """Time after a loss of hosts in which callers must be served again."""
 
 
-async def break_off(stream):
+async def abort_connection(stream):
     """Take part of a call, and end the connection as a killed process does."""
     await stream.receive()
     await anyio.sleep(0.05)
     await anyio.aclose_forcefully(stream)
 
 
-async def test_a_call_that_is_broken_off_leaves_its_task_as_it_was():
+async def test_broken_call_does_not_leave_its_task_cancelled():
     """A request asks another relay for tokens, and that one is killed just then. The
     RPC library cancels the task that waits for the answer, and the task stays marked
     as cancelled: whatever bounded it from outside then ended with a cancellation
@@ -35,52 +35,52 @@
     member = Member("h", "h/1", f"127.0.0.1:{port}", "dc")
     trade = Trade(account="farm", holder="x/1", lender="h/1", needed=5)
     neighbours = Neighbours()
-    went_on = []
+    resumed = []
 
     async def request():
         with anyio.CancelScope() as scope:
             assert await neighbours.trade(member, trade) is None
             scope.cancel()
             await anyio.sleep(5)
-        went_on.append(scope.cancelled_caught)
+        resumed.append(scope.cancelled_caught)
 
     async with anyio.create_task_group() as group:
-        group.start_soon(listener.serve, break_off)
+        group.start_soon(listener.serve, abort_connection)
         async with anyio.create_task_group() as requests:
             for _ in range(3):
                 requests.start_soon(request)
         await neighbours.close()
         group.cancel_scope.cancel()
-    assert went_on == [True, True, True]
+    assert resumed == [True, True, True]
 
 
-SILENCES = 8
+FAILED_CALLS = 8
 
 
-async def call_in_vain():
+async def make_failed_calls():
     """Return calls to a relay that doesn't answer, after many of them."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     member = Member("h", "h/1", f"127.0.0.1:{port}", "dc")
     neighbours = Neighbours()
     trade = Trade(account="farm", holder="x/1", lender="h/1", needed=5)
-    for _ in range(SILENCES):
+    for _ in range(FAILED_CALLS):
         assert await neighbours.trade(member, trade) is None
     assert neighbours.is_avoided(member, time.monotonic())
     return neighbours, member
 
 
-async def test_a_relay_that_was_silent_is_asked_again_once_it_has_restarted():
+async def test_backoff_ends_when_the_relay_restarts():
     """Guards against tokens out of reach for half a minute after a host is back."""
-    neighbours, ended = await call_in_vain()
+    neighbours, ended = await make_failed_calls()
     restarted = attrs.evolve(ended, holder="h/2")
     assert not neighbours.is_avoided(restarted, time.monotonic())
 
 
-async def test_a_relay_that_was_cut_off_is_asked_again_in_time():
+async def test_backoff_ends_within_recovery_time():
     """Guards against lenders who stay avoided for longer than a fleet may take to serve
     again, though they have called meanwhile."""
-    neighbours, member = await call_in_vain()
+    neighbours, member = await make_failed_calls()
     now = time.monotonic()
     assert not neighbours.is_avoided(member, now + RECOVERY_SECONDS)
     neighbours.note_heard(member.holder)
--- a/knapweedrail/tests/test_relay_news.py
+++ b/knapweedrail/tests/test_relay_news.py
@@ -29,7 +29,7 @@
     )
 
 
-def play(sizes, scenario, bounds=BOUNDS["base"]):
+def run_scenario(sizes, scenario, bounds=BOUNDS["base"]):
     """Play a scenario with a fleet; return the fleet."""
 
     async def run(clock):
@@ -48,7 +48,7 @@
     return run_virtual(run)
 
 
-def list_watchers(fleet):
+def list_followed_hosts(fleet):
     return [host for host, relay in fleet.relays.items() if relay.news.is_followed]
 
 
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("sizes", [[2, 2, 2], [9, 9, 9]])
-def test_most_relays_call_the_store_for_nothing_in_calm(sizes):
+def test_idle_store_load_is_limited_to_sources(sizes):
     """Guards against a price that grows with each host."""
 
     async def scenario(fleet):
@@ -74,24 +74,24 @@
         await fleet.run_for(40)
         fleet.calls = (fleet.store.price - before) / 40
 
-    fleet = play(sizes, scenario)
+    fleet = run_scenario(sizes, scenario)
     watchers = fleet.watchers
     assert watchers == (3 if sizes[0] > 8 else 2)
-    a_watcher = 1 / fleet.settings.configuration_watch_seconds
-    a_watcher += 1 / fleet.settings.runner_watch_seconds
-    assert fleet.calls <= watchers * a_watcher + len(fleet.hosts) * 0.03
+    calls_per_watcher = 1 / fleet.settings.configuration_watch_seconds
+    calls_per_watcher += 1 / fleet.settings.runner_watch_seconds
+    assert fleet.calls <= watchers * calls_per_watcher + len(fleet.hosts) * 0.03
 
 
 @pytest.mark.parametrize("bounds", BOUNDS.values(), ids=BOUNDS)
-@pytest.mark.parametrize("way", ["kill", "lose_power", "pause"])
+@pytest.mark.parametrize("fault", ["kill", "lose_power", "pause"])
 @pytest.mark.parametrize("count", [1, 2])
-def test_the_end_of_watchers_makes_no_news_late(bounds, way, count):
+def test_loss_of_sources_delays_no_update_beyond_bounds(bounds, fault, count):
     """Guards against relays that wait for a watcher that is dead or stands still."""
 
     async def scenario(fleet):
         for _ in range(4):
-            for host in list_watchers(fleet)[:count]:
-                getattr(fleet, way)(host)
+            for host in list_followed_hosts(fleet)[:count]:
+                getattr(fleet, fault)(host)
             await change_for(fleet, 6.0)
             for host in fleet.hosts:
                 if host in fleet.relays and host in fleet.store.lost:
@@ -99,27 +99,27 @@
             fleet.start_all()
             await fleet.run_for(7.3)
 
-    check(play([3, 3, 3], scenario, bounds))
+    check(run_scenario([3, 3, 3], scenario, bounds))
 
 
 @pytest.mark.parametrize("bounds", BOUNDS.values(), ids=BOUNDS)
 @pytest.mark.parametrize("sizes", [[2, 2, 2], [9, 9, 9]])
-def test_watchers_cut_off_from_the_store_make_no_news_late(bounds, sizes):
+def test_sources_without_store_delay_no_update_beyond_bounds(bounds, sizes):
     """Guards against relays that rely on one that hears nothing itself."""
 
     async def scenario(fleet):
         for _ in range(3):
-            lost = set(list_watchers(fleet)[:1])
+            lost = set(list_followed_hosts(fleet)[:1])
             fleet.store.lose(lost)
             await change_for(fleet, 8.0)
             fleet.store.restore(lost)
             await change_for(fleet, 8.0)
 
-    check(play(sizes, scenario, bounds))
+    check(run_scenario(sizes, scenario, bounds))
 
 
 @pytest.mark.parametrize("sizes", [[2, 2, 2], [9, 9, 9]])
-def test_a_data_centre_that_hears_no_other_one_goes_on(sizes):
+def test_partitioned_data_centre_stays_up_to_date(sizes):
     """Guards against relays that wait for a source they can't hear any more."""
 
     async def scenario(fleet):
@@ -129,22 +129,22 @@
         fleet.join()
         await change_for(fleet, 9.0)
 
-    check(play(sizes, scenario))
+    check(run_scenario(sizes, scenario))
 
 
-def test_relays_that_hear_nobody_watch_for_themselves():
+def test_isolated_relays_watch_the_store_themselves():
     """Guards against relays that depend on each other when only the store is there."""
 
     async def scenario(fleet):
         fleet.part(set(fleet.hosts), set(fleet.hosts))
         await change_for(fleet, 12.0)
 
-    fleet = play([3, 3, 3], scenario)
+    fleet = run_scenario([3, 3, 3], scenario)
     check(fleet)
     assert fleet.watchers == 0
 
 
-def test_changes_around_outages_are_known_when_bounds_hold_again():
+def test_changes_around_store_outages_arrive_in_time():
     """Guards against old configurations after an outage of the store."""
 
     async def scenario(fleet):
@@ -155,10 +155,10 @@
             fleet.unstable_at = anyio.current_time()
             await change_for(fleet, 4.0, pause=0.3)
 
-    check(play([3, 3, 3], scenario))
+    check(run_scenario([3, 3, 3], scenario))
 
 
-def test_a_history_that_is_gone_takes_nothing_back():
+def test_compacted_history_loses_no_change():
     """Guards against changes that are lost as the store forgets what it had told."""
 
     async def scenario(fleet):
@@ -168,10 +168,10 @@
             fleet.change()
             await fleet.run_for(1.3)
 
-    check(play([3, 3, 3], scenario))
+    check(run_scenario([3, 3, 3], scenario))
 
 
-def test_all_hosts_that_lose_power_hear_of_each_other_again():
+def test_relays_reconnect_after_loss_of_all_hosts():
     """Guards against a fleet whose relays all watch for themselves after a loss."""
 
     async def scenario(fleet):
@@ -183,32 +183,32 @@
         await change_for(fleet, 10.0)
         fleet.calls = fleet.store.price - before
 
-    fleet = play([9, 9, 9], scenario)
+    fleet = run_scenario([9, 9, 9], scenario)
     check(fleet)
     assert fleet.watchers <= 6
     assert fleet.calls < 6 * len(fleet.hosts)
 
 
-def test_large_configurations_come_from_the_store():
+def test_large_configurations_are_read_from_the_store():
     """Guards against small links that are full while relays tell each other."""
 
     async def scenario(fleet):
         fleet.store.calls.clear()
         await change_for(fleet, 4.0, pause=1.0, padding=5000)
 
-    fleet = play([9, 9, 9], scenario)
+    fleet = run_scenario([9, 9, 9], scenario)
     check(fleet)
     assert fleet.store.calls["list config"] >= len(fleet.hosts) - fleet.watchers
 
 
-def test_a_storm_of_small_changes_costs_no_call_of_most_relays():
+def test_frequent_small_changes_cause_no_store_calls_of_most_relays():
     """Guards against a call of each relay for each version."""
 
     async def scenario(fleet):
         fleet.store.calls.clear()
         await change_for(fleet, 5.0, pause=0.33, padding=100)
 
-    fleet = play([9, 9, 9], scenario)
+    fleet = run_scenario([9, 9, 9], scenario)
     check(fleet)
     assert fleet.store.calls["list config"] == 0
     assert fleet.store.calls["watch config"] <= 3 * 2 * 5.0 / 0.33
@@ -227,7 +227,7 @@
 )
 
 
-async def play_faults(fleet, faults):
+async def run_faults(fleet, faults):
     hosts = list(fleet.hosts)
     for fault, number, pause in faults:
         host = hosts[number % len(hosts)]
@@ -259,7 +259,7 @@
                 for each in hosts:
                     fleet.lose_power(each)
             case "watcher":
-                for each in list_watchers(fleet)[:1]:
+                for each in list_followed_hosts(fleet)[:1]:
                     fleet.lose_power(each)
         fleet.change()
         await fleet.run_for(pause)
@@ -278,30 +278,30 @@
     phases=[Phase.explicit, Phase.generate],
 )
 @given(st.sampled_from([[2, 2, 2], [3, 3, 3], [9, 2]]), FAULTS)
-def test_no_schedule_of_faults_makes_news_late(sizes, faults):
+def test_combined_faults_delay_no_update_beyond_bounds(sizes, faults):
     """Guards against faults that meet, of which each by itself is borne."""
 
     async def scenario(fleet):
-        await play_faults(fleet, faults)
+        await run_faults(fleet, faults)
 
-    fleet = play(sizes, scenario)
+    fleet = run_scenario(sizes, scenario)
     check(fleet)
     newest = fleet.acknowledged[-1].version
     assert all(relay.version >= newest - 3 for relay in fleet.relays.values())
 
 
-def test_a_watcher_that_drops_a_change_is_found(monkeypatch):
+def test_check_detects_a_source_that_drops_changes(monkeypatch):
     """Guards against a check that wouldn't notice what relays are never told."""
-    monkeypatch.setattr(Replica, "tell", lambda self, since: b"")
+    monkeypatch.setattr(Replica, "encode_changes", lambda self, since: b"")
 
     async def scenario(fleet):
         await change_for(fleet, 12.0)
 
     with pytest.raises(AssertionError):
-        check(play([3, 3, 3], scenario))
+        check(run_scenario([3, 3, 3], scenario))
 
 
-def test_a_watch_that_is_longer_than_its_bound_is_found(monkeypatch):
+def test_check_detects_watches_longer_than_their_bound(monkeypatch):
     """Guards against a check that wouldn't notice waits that add up."""
     longer = property(lambda settings: 9.0)
     monkeypatch.setattr(RelaySettings, "configuration_watch_seconds", longer)
@@ -317,4 +317,4 @@
         await change_for(fleet, 9.0)
 
     with pytest.raises(AssertionError):
-        check(play([3, 3, 3], scenario))
+        check(run_scenario([3, 3, 3], scenario))
--- a/knapweedrail/tests/test_relay_patches.py
+++ b/knapweedrail/tests/test_relay_patches.py
@@ -18,19 +18,19 @@
 
 
 @given(VALUES, VALUES)
-def test_a_patch_makes_the_new_value_and_leaves_the_old_one(old, new):
+def test_patch_yields_new_value_and_keeps_old_one(old, new):
     """Guards against a configuration at some relays that nobody wrote."""
     before = repr(old)
     assert is_same(apply_patch(old, make_patch(old, new)), new)
     assert repr(old) == before
 
 
-def test_a_truth_value_is_not_a_number():
+def test_booleans_differ_from_numbers():
     """Guards against a field that changes its type unnoticed."""
     assert apply_patch({"a": 1}, make_patch({"a": 1}, {"a": True}))["a"] is True
 
 
-def test_one_route_of_many_is_a_small_difference():
+def test_patch_of_one_route_among_many_is_small():
     """Guards against whole configurations over small links."""
     routes = [{"name": f"r-{n}", "padding": "x" * 100} for n in range(1000)]
     changed = [*routes[:500], {"name": "new"}, *routes[500:]]
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize(
     "patch", [["fields", {"a": ["items", {"0": ["value", 1]}]}, []], ["what"], "x", []]
 )
-def test_a_patch_of_another_value_is_told_from_a_sound_one(patch):
+def test_patch_of_another_value_is_rejected(patch):
     """Guards against half of a difference that is taken in."""
     with pytest.raises(ValueError):
         apply_patch({"b": []}, patch)
--- a/knapweedrail/tests/test_relay_replicas.py
+++ b/knapweedrail/tests/test_relay_replicas.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from ..relay import replicas
-from ..relay.replicas import News, OutOfStepError, Replica, Told, decode_items
+from ..relay.replicas import News, OutOfStepError, Replica, UpdateForm, decode_items
 from ..relay.stores import Change, StoredObject, Unreadable
 
 NAMES = ("a", "b", "c")
-PADDING = "x" * (replicas.LARGE_BYTES + 1)
+PADDING = "x" * (replicas.LARGE_OBJECT_BYTES + 1)
 
 
 class History:
@@ -33,7 +33,7 @@
             self.revision += 1
             self._note(Change(self.objects.pop(name), removed=True))
 
-    def pass_by(self):
+    def write_other_kind(self):
         """Change an object of another kind."""
         self.revision += 1
         self.states[self.revision] = dict(self.objects)
@@ -50,15 +50,15 @@
     return dict(replica._objects)
 
 
-def pass_on(teller, reader):
-    """Tell a reader all that it lacks."""
-    since = reader.revision
-    reader.take_news(
+def send_updates(source, subscriber):
+    """Tell a subscriber all that it lacks."""
+    since = subscriber.revision
+    subscriber.merge_update(
         News(
             "k",
-            teller.find_base(since),
-            teller.revision,
-            decode_items(teller.tell(since)),
+            source.find_base(since),
+            source.revision,
+            decode_items(source.encode_changes(since)),
         )
     )
 
@@ -74,140 +74,140 @@
 )
 
 
-def play(steps):
+def run_steps(steps):
     """Let three relays hear of a history in some order; check each at every step."""
     history = History()
     relays = [Replica("k", keep_patches=n != 1) for n in range(3)]
-    for step, one, other, back in steps:
+    for step, one, other, offset in steps:
         relay, before = relays[one], relays[one].revision
-        at = max(1, history.revision - back)
+        at = max(1, history.revision - offset)
         match step:
             case "write" | "large":
-                history.write(NAMES[other], back, step == "large")
+                history.write(NAMES[other], offset, step == "large")
             case "remove":
                 history.remove(NAMES[other])
             case "pass":
-                history.pass_by()
+                history.write_other_kind()
             case "list":
-                relay.replace_all(tuple(history.states[at].values()), at)
+                relay.apply_list(tuple(history.states[at].values()), at)
             case "watch" if relay.revision:
-                # Its answer may come after others told of more.
+                # Its answer may come after others encoded of more.
                 since = min(relay.revision, at)
                 until = max(since, history.revision - other)
-                relay.select(history.list_changes(since, until), until)
+                relay.apply_changes(history.list_changes(since, until), until)
             case "tell" if one != other:
                 try:
-                    pass_on(relays[other], relay)
+                    send_updates(relays[other], relay)
                 except OutOfStepError as error:
-                    assert not error.fetch
+                    assert not error.needs_fetch
         assert relay.revision >= before
         if relay.revision:
             assert read_objects(relay) == history.states[relay.revision]
 
 
 @given(STEPS)
-def test_each_relay_has_the_store_as_it_was_at_its_revision(steps):
-    """Guards against objects that are missed, come back or go back at some relay."""
-    play(steps)
+def test_replica_equals_the_store_at_its_revision(steps):
+    """Guards against objects that a relay misses, resurrects or reverts."""
+    run_steps(steps)
 
 
-def test_a_replica_that_drops_one_change_is_found(monkeypatch):
+def test_check_detects_a_dropped_change(monkeypatch):
     """Guards against a check that wouldn't notice a watcher that loses an event."""
-    tell = Replica.tell
+    encode_changes = Replica.encode_changes
 
     def drop(self, since):
-        items = replicas.orjson.loads(tell(self, since) or b"[]")
+        items = replicas.orjson.loads(encode_changes(self, since) or b"[]")
         return replicas.orjson.dumps(items[1:])
 
-    monkeypatch.setattr(Replica, "tell", drop)
+    monkeypatch.setattr(Replica, "encode_changes", drop)
     steps = [("write", 0, 0, 1), ("write", 0, 1, 2), ("list", 0, 0, 0)]
     with pytest.raises(AssertionError):
-        play([*steps, ("tell", 1, 0, 0)])
+        run_steps([*steps, ("tell", 1, 0, 0)])
 
 
 def make_pair(size):
-    """Return a teller with a large object, and a reader that has it."""
-    teller, reader = Replica("k", keep_patches=True), Replica("k")
+    """Return a source with a large object, and a subscriber that has it."""
+    source, subscriber = Replica("k", keep_patches=True), Replica("k")
     first = StoredObject("a", 5, {"list": ["x" * 40] * size})
-    for replica in (teller, reader):
-        replica.replace_all((first,), 5)
-    return teller, reader
+    for replica in (source, subscriber):
+        replica.apply_list((first,), 5)
+    return source, subscriber
 
 
-def change(teller, spec, revision):
-    teller.select((Change(StoredObject("a", revision, spec), False),), revision)
+def change(source, spec, revision):
+    source.apply_changes((Change(StoredObject("a", revision, spec), False),), revision)
 
 
-def test_a_large_object_is_told_by_its_difference():
+def test_large_object_is_sent_as_patch():
     """Guards against whole configurations to each relay over a small link."""
-    teller, reader = make_pair(1000)
+    source, subscriber = make_pair(1000)
     for revision in (7, 9):
-        change(teller, {"list": ["x" * 40] * 1000, "version": revision}, revision)
-    told = teller.tell(5)
-    assert len(told) < 300
-    pass_on(teller, reader)
-    assert read_objects(reader)["a"].spec["version"] == 9
-
-
-def test_what_is_too_large_is_left_to_the_store():
-    """Guards against a link that is full for seconds as many relays are told."""
-    teller, reader = make_pair(10)
-    change(teller, {"list": ["y" * 40] * 2000}, 7)
-    assert decode_items(teller.tell(5))[0].told is Told.LARGE
+        change(source, {"list": ["x" * 40] * 1000, "version": revision}, revision)
+    encoded = source.encode_changes(5)
+    assert len(encoded) < 300
+    send_updates(source, subscriber)
+    assert read_objects(subscriber)["a"].spec["version"] == 9
+
+
+def test_oversized_change_must_be_fetched_from_the_store():
+    """Guards against a link that is full for seconds as many relays are encoded."""
+    source, subscriber = make_pair(10)
+    change(source, {"list": ["y" * 40] * 2000}, 7)
+    assert decode_items(source.encode_changes(5))[0].form is UpdateForm.LARGE
     with pytest.raises(OutOfStepError) as caught:
-        pass_on(teller, reader)
-    assert caught.value.fetch
-    assert reader.revision == 5
+        send_updates(source, subscriber)
+    assert caught.value.needs_fetch
+    assert subscriber.revision == 5
 
 
-def test_a_difference_of_another_version_is_not_taken_in():
+def test_patch_of_another_version_is_rejected():
     """Guards against a configuration that is made of two."""
-    teller, reader = make_pair(1000)
-    change(teller, {"list": ["x" * 40] * 1000, "version": 7}, 7)
-    items = decode_items(teller.tell(5))
-    strange = [attrs.evolve(item, base=4) for item in items]
+    source, subscriber = make_pair(1000)
+    change(source, {"list": ["x" * 40] * 1000, "version": 7}, 7)
+    items = decode_items(source.encode_changes(5))
+    mismatched = [attrs.evolve(item, base=4) for item in items]
     with pytest.raises(OutOfStepError) as caught:
-        reader.take_news(News("k", 5, 7, tuple(strange)))
-    assert caught.value.fetch
-    assert reader.revision == 5
+        subscriber.merge_update(News("k", 5, 7, tuple(mismatched)))
+    assert caught.value.needs_fetch
+    assert subscriber.revision == 5
 
 
-def test_news_that_skip_a_revision_are_not_taken_in():
+def test_update_with_a_gap_is_rejected():
     """Guards against changes between two pieces of news that nobody misses."""
-    reader = Replica("k")
-    reader.replace_all((), 5)
+    subscriber = Replica("k")
+    subscriber.apply_list((), 5)
     with pytest.raises(OutOfStepError) as caught:
-        reader.take_news(News("k", 7, 9))
-    assert not caught.value.fetch
+        subscriber.merge_update(News("k", 7, 9))
+    assert not caught.value.needs_fetch
 
 
-def test_an_object_that_cannot_be_read_is_told_as_such():
+def test_unreadable_object_is_sent_as_unreadable():
     """Guards against each relay of a fleet that reads a spoilt object for itself."""
-    teller, reader = Replica("k", keep_patches=True), Replica("k")
-    teller.replace_all((StoredObject("a", 3, Unreadable()),), 3)
-    pass_on(teller, reader)
-    assert read_objects(reader)["a"].spec == Unreadable()
+    source, subscriber = Replica("k", keep_patches=True), Replica("k")
+    source.apply_list((StoredObject("a", 3, Unreadable()),), 3)
+    send_updates(source, subscriber)
+    assert read_objects(subscriber)["a"].spec == Unreadable()
 
 
-def test_a_list_of_long_ago_takes_nothing_back():
+def test_stale_list_reverts_nothing():
     """Guards against a leaving runner that gets work again by a stale list."""
     replica = Replica("k")
-    assert replica.replace_all((StoredObject("a", 5, 1),), 5)
-    assert not replica.replace_all((StoredObject("a", 3, 0),), 4)
+    assert replica.apply_list((StoredObject("a", 5, 1),), 5)
+    assert not replica.apply_list((StoredObject("a", 3, 0),), 4)
     assert read_objects(replica)["a"].spec == 1
 
 
-def test_a_reader_from_before_all_that_is_remembered_gets_everything(monkeypatch):
-    """Guards against removed objects that stay at a reader that was away for long."""
-    monkeypatch.setattr(replicas, "MOST_REMOVED", 2)
+def test_subscriber_older_than_removal_history_gets_full_list(monkeypatch):
+    """Guards against removed objects that stay at a long absent subscriber."""
+    monkeypatch.setattr(replicas, "MAX_REMOVED_OBJECTS", 2)
     names = ["a", "b", "c", "d"]
-    teller, reader = Replica("k"), Replica("k")
+    source, subscriber = Replica("k"), Replica("k")
     objects = tuple(StoredObject(name, 3, 1) for name in names)
-    for replica in (teller, reader):
-        replica.replace_all(objects, 5)
+    for replica in (source, subscriber):
+        replica.apply_list(objects, 5)
     for number, name in enumerate(names):
-        gone = Change(StoredObject(name, 3, 1), removed=True)
-        teller.select((gone,), 6 + number)
-    assert teller.find_base(5) == 0
-    pass_on(teller, reader)
-    assert not read_objects(reader)
+        removal = Change(StoredObject(name, 3, 1), removed=True)
+        source.apply_changes((removal,), 6 + number)
+    assert source.find_base(5) == 0
+    send_updates(source, subscriber)
+    assert not read_objects(subscriber)
--- a/knapweedrail/tests/test_relay_sources.py
+++ b/knapweedrail/tests/test_relay_sources.py
@@ -6,14 +6,14 @@
 
 from ..relay.models import Member
 from ..relay.sources import (
-    LOCAL_RELAYS,
+    MIN_LOCAL_RELAYS,
     NewsTiming,
     Source,
     plan_sources,
-    rank_watchers,
+    rank_sources,
 )
 
-TIMING = NewsTiming(beat=1.0, silence=2.0)
+TIMING = NewsTiming(heartbeat_interval=1.0, timeout=2.0)
 
 
 def make_fleet(*sizes):
@@ -26,7 +26,7 @@
     ]
 
 
-def find_watchers(fleet):
+def find_sources(fleet):
     """Return the relays that are followed when all answer."""
     followed = set()
     for member in fleet:
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sizes", "watchers"),
+    ("sizes", "source_count"),
     [
         ([2, 2, 2], 2),
         ([3, 3, 3], 2),
@@ -50,13 +50,13 @@
         ([2], 2),
     ],
 )
-def test_few_relays_watch_for_all(sizes, watchers):
+def test_few_relays_are_sources(sizes, source_count):
     """Guards against a call of each relay of a fleet for each change."""
-    assert len(find_watchers(make_fleet(*sizes))) == watchers
+    assert len(find_sources(make_fleet(*sizes))) == source_count
 
 
 @given(st.lists(st.integers(1, 12), min_size=1, max_size=4), st.randoms())
-def test_all_choose_alike_and_two_that_differ(sizes, rng):
+def test_plan_is_independent_of_member_order(sizes, rng):
     """Guards against relays that all watch, as each chooses by its own order."""
     fleet = make_fleet(*sizes)
     shuffled = rng.sample(fleet, len(fleet))
@@ -66,16 +66,16 @@
         assert all(member.host != m.host for part in plan for m in part)
 
 
-def test_a_data_centre_that_is_cut_off_has_a_watcher_of_its_own():
+def test_large_data_centre_has_a_local_source():
     """Guards against news that all have to come from another data centre."""
-    fleet = make_fleet(LOCAL_RELAYS, LOCAL_RELAYS)
+    fleet = make_fleet(MIN_LOCAL_RELAYS, MIN_LOCAL_RELAYS)
     for member in fleet:
         first, second = plan_sources(fleet, member)
         assert all(m.data_centre == member.data_centre for m in first)
         assert all(m.data_centre != member.data_centre for m in second)
 
 
-def test_each_watcher_tells_one_other_data_centre():
+def test_each_source_serves_one_other_data_centre():
     """Guards against one small host that tells all relays of a fleet."""
     fleet = make_fleet(10, 10, 10)
     seconds = {}
@@ -86,26 +86,26 @@
     assert all(len(places) == 1 for places in seconds.values())
 
 
-def test_relays_without_an_address_are_not_followed():
+def test_relays_without_address_are_no_sources():
     """Guards against a source that nobody can reach."""
-    assert rank_watchers([Member("h", "h/1", "", "dc")]) == []
+    assert rank_sources([Member("h", "h/1", "", "dc")]) == []
 
 
-def test_an_answer_that_was_long_on_its_way_confirms_nothing_later():
+def test_delayed_reply_does_not_extend_validity():
     """Guards against old news that count as new at a host that stood still."""
-    source = Source(make_fleet(1)[0], heard_at=100.0)
+    source = Source(make_fleet(1)[0], last_reply_at=100.0)
     source.note_confirmed("k", asked_at=90.0, age=3.0)
-    source.note_heard(100.0)
-    assert source.measure_trust("k", 100.0, TIMING, limit=13.0) == 0.0
-    assert source.measure_trust("k", 100.0, TIMING, limit=14.0) == 1.0
-    assert source.measure_trust("k", 100.0, TIMING, limit=40.0) == TIMING.silence
+    source.note_reply(100.0)
+    assert source.measure_validity("k", 100.0, TIMING, limit=13.0) == 0.0
+    assert source.measure_validity("k", 100.0, TIMING, limit=14.0) == 1.0
+    assert source.measure_validity("k", 100.0, TIMING, limit=40.0) == TIMING.timeout
 
 
-def test_a_source_that_says_nothing_counts_no_more():
+def test_source_that_timed_out_is_not_valid():
     """Guards against a watcher that stands still and is trusted on."""
-    source = Source(make_fleet(1)[0], heard_at=100.0)
+    source = Source(make_fleet(1)[0], last_reply_at=100.0)
     source.note_confirmed("k", asked_at=100.0, age=0.0)
-    assert not source.is_silent(101.9, TIMING)
-    assert source.is_silent(102.0, TIMING)
-    assert source.measure_trust("k", 102.0, TIMING, limit=40.0) == 0.0
-    assert source.measure_trust("other", 100.0, TIMING, limit=40.0) == 0.0
+    assert not source.has_timed_out(101.9, TIMING)
+    assert source.has_timed_out(102.0, TIMING)
+    assert source.measure_validity("k", 102.0, TIMING, limit=40.0) == 0.0
+    assert source.measure_validity("other", 100.0, TIMING, limit=40.0) == 0.0
--- a/knapweedrail/tests/test_relay_suspects.py
+++ b/knapweedrail/tests/test_relay_suspects.py
@@ -16,7 +16,7 @@
     return suspects.note_crash(runner, now + 0.1)
 
 
-def test_a_request_that_crashes_every_runner_is_refused_at_all_relays():
+def test_request_that_crashes_runners_is_refused_at_all_relays():
     """A caller sends the same request again and again, each time to another relay, and
     each time a runner dies with everybody's work on it."""
     relays = [Suspects() for _ in range(3)]
@@ -30,16 +30,16 @@
     )
 
 
-def test_one_crash_seen_by_all_relays_counts_once():
+def test_crash_reported_by_all_relays_counts_once():
     relays = [Suspects() for _ in range(3)]
     lines = [crash(relay, "i-0", ["innocent"], 0.0) for relay in relays]
     for relay in relays:
-        for heard in lines:
-            relay.hear(heard, 0.5)
+        for reported in lines:
+            relay.hear(reported, 0.5)
     assert not any(relay.blocks("innocent", 1.0) for relay in relays)
 
 
-def test_a_lost_answer_is_not_a_crash():
+def test_lost_answer_is_not_a_crash():
     """A runner resets a connection in twenty, and goes on. A status that many callers
     read would be refused after three such answers."""
     suspects = Suspects()
@@ -50,7 +50,7 @@
     assert not suspects.blocks("status", 100.0)
 
 
-def test_a_good_answer_clears_a_request():
+def test_good_answer_clears_a_request():
     suspects = Suspects()
     crash(suspects, "i-0", ["once"], 0.0)
     crash(suspects, "i-1", ["once"], 1.0)
@@ -59,7 +59,7 @@
     assert not suspects.blocks("once", 4.0)
 
 
-def test_a_fingerprint_tells_requests_apart_by_all_that_makes_them():
+def test_fingerprint_covers_all_parts_of_a_request():
     one = make_fingerprint("farm", "POST", b"/a", b"x")
     assert one == make_fingerprint("farm", "POST", b"/a", b"x")
     others = [
@@ -72,16 +72,16 @@
 
 
 @pytest.mark.anyio
-async def test_word_of_a_crash_goes_out_soon_and_that_of_one_crash_together():
+async def test_suspects_of_one_crash_are_sent_together_and_soon():
     """A runner crashes and all its requests end at once, each with word of its own.
     The others hear of them by one call, soon enough not to run them too."""
     relay = Relay.__new__(Relay)
     relay._told, relay._told_more, relay._limits = [], Signal(), {}
     relay._membership = types.SimpleNamespace(list_others=lambda: ["other"])
-    told = []
+    sent = []
 
     async def tell(members, lines):
-        told.append(lines)
+        sent.append(lines)
 
     relay._neighbours = types.SimpleNamespace(tell_suspects=tell)
     async with anyio.create_task_group() as group:
@@ -92,5 +92,5 @@
             await anyio.sleep(0.01)
             relay._tell_suspects(crash[1:])
             await anyio.sleep(0.09)
-            assert told.pop() == crash and not told
+            assert sent.pop() == crash and not sent
         group.cancel_scope.cancel()
