--- a/knapweedrail/relay/codecs.py
+++ b/knapweedrail/relay/codecs.py
@@ -1,4 +1,4 @@
-"""How callers' requests and runners' answers are written, as an interface."""
+"""Interface of the codec for callers' requests and runners' answers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Codec(ABC):
-    """Translates between headers and types."""
+    """Translates between HTTP headers and the relay's types."""
 
     @abstractmethod
     def decode_request(
@@ -32,10 +32,14 @@
         """Return the headers with which a request goes to a runner.
 
         Args:
-            seconds: What is left of the time that the caller will wait.
-            rank: Urgency for the runner's queue; ``None`` leaves its default.
+            request: The caller's request.
+            runner: The runner that gets it.
+            account: Name of the client account; ``None`` without one.
+            seconds: Remaining time that the caller will wait.
+            rank: Urgency for the runner's queue; ``None`` keeps the runner's default.
             body_bytes: Length of the body; ``None`` for a request without one.
-            last_event: Number of the last event had, for a stream that goes on.
+            last_event: Number of the last event received, to resume a stream;
+                ``None`` otherwise.
         """
 
     @abstractmethod
@@ -44,16 +48,22 @@
 
     @abstractmethod
     def encode_report_request(self, address: str, name: str) -> tuple[bytes, Headers]:
-        """Return the target and headers that ask a runner for its report.
+        """Return the request target and headers that ask a runner for its report.
 
         Args:
-            name: The runner that is asked; no other one may answer.
+            address: Address of the runner, ``host:port``.
+            name: Name of the runner; a runner of another name must not answer.
         """
 
     @abstractmethod
     def decode_report(self, status: int, body: bytes) -> RunnerReport | None:
-        """Decode a report; ``None`` if it is no engine's."""
+        """Decode a report; ``None`` if it isn't from an engine."""
 
     @abstractmethod
     def encode_refusal(self, identity: str, retry_after: float | None) -> Headers:
-        """Return the headers of an answer that the relay gives itself."""
+        """Return the headers of an answer that the relay itself gives.
+
+        Args:
+            identity: Identity of the request.
+            retry_after: Pause before a retry, seconds; ``None`` to suggest none.
+        """
--- a/knapweedrail/relay/dialers.py
+++ b/knapweedrail/relay/dialers.py
@@ -1,4 +1,4 @@
-"""Links between relays over gRPC."""
+"""Links between subscribers and sources over gRPC."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class GrpcDialer(Dialer):
-    """Opens links over connections of their own, which end with them."""
+    """Opens each link over a connection of its own, closed together with the link."""
 
     @contextlib.asynccontextmanager
     async def dial(self, member: Member) -> AsyncIterator[FollowerLink]:
@@ -42,10 +42,10 @@
 
 
 class GrpcSourceLink(FollowerLink):
-    """The end of the relay that follows another one.
+    """The subscriber's end of a link.
 
     Args:
-        stream: Its call, which begins with the first message.
+        stream: Stream of the gRPC call, which starts with the first message.
     """
 
     def __init__(self, stream: ClientStream) -> None:
@@ -62,7 +62,7 @@
         with _translate_errors():
             message = await self._stream.recv_message()
         if message is None:
-            raise LinkLostError("ended by the other relay")
+            raise LinkLostError("closed by the source")
         kinds = [
             EncodedUpdate(
                 kind=kind_news.kind,
@@ -77,7 +77,7 @@
 
 
 class GrpcSubscriberLink(WatcherLink):
-    """The end of the relay that is followed."""
+    """The source's end of a link."""
 
     def __init__(self, stream: Stream) -> None:
         self._stream = stream
@@ -86,7 +86,7 @@
         with _translate_errors():
             message = await self._stream.recv_message()
         if message is None:
-            raise LinkLostError("ended by the follower")
+            raise LinkLostError("closed by the subscriber")
         return Reading(message.clock / MILLISECONDS, dict(message.revisions))
 
     async def send(self, reply: Telling) -> None:
--- a/knapweedrail/relay/followers.py
+++ b/knapweedrail/relay/followers.py
@@ -1,4 +1,4 @@
-"""Tasks that follow the configuration and the list of runners in the store."""
+"""Tasks that watch the configuration and the list of runners in the store."""
 
 from __future__ import annotations
 
@@ -23,26 +23,27 @@
 from .supplies import NewsTaker, NoSupply
 
 CONFIRMATION_MARGIN_SECONDS = 1.0
-"""How much later than its watch's own end a configuration may be confirmed: the
-answer's delay, a pause before the next, and half a second to spare."""
+"""Seconds after the end of a watch within which the store must have confirmed what is
+known: the delay of the answer, the pause before the next call, and a margin of half a
+second."""
 
 
 class Follower(Task, NewsTaker):
-    """Follows all objects of one kind by a list and waiting watches.
+    """Tracks all objects of one kind with a list and consecutive long-poll watches.
 
-    A connection on which nothing comes any more looks like a quiet kind. So each
-    watch has an end, after which the store must have answered. While other relays tell
-    what they know of the kind, it doesn't watch itself.
+    A dead connection looks the same as a kind without changes. Therefore each watch has
+    an end by which the store must have answered. While other relays send updates of the
+    kind, this task doesn't watch the store itself.
 
     Args:
         store: The platform's store.
-        kind: The kind that is followed.
-        watch_seconds: Length of one watch.
-        batch_seconds: Pause after changes, so that the next ones come together.
-        malformed: Told of objects that can't be used.
-        reach: Shared by all followers of a store.
-        limit_seconds: Age up to which what is known counts; `OVERDUE_SECONDS` past a
-            watch's end if left out.
+        kind: The kind to watch.
+        watch_seconds: Longest duration of one watch.
+        batch_seconds: Pause after changes, so that the next ones come in one batch.
+        malformed: Records objects that can't be used.
+        reach: Shared by all watchers of a store.
+        limit_seconds: Age up to which the known state counts as current; defaults to
+            `CONFIRMATION_MARGIN_SECONDS` after the end of a watch.
     """
 
     def __init__(
@@ -74,7 +75,7 @@
 
     @property
     def fetching(self) -> bool:
-        """Whether the store has to be read before news can be taken in."""
+        """Whether the store must be read before updates of other relays apply."""
         return self.replica.revision < self._needed_revision
 
     async def run(self) -> None:
@@ -89,13 +90,13 @@
             if outcome is not None:
                 await self._handle_outcome(outcome, time.monotonic() - began_at)
 
-    def take_news(self, news: News, confirmed_at: float) -> None:
+    def take_news(self, update: News, confirmed_at: float) -> None:
         try:
-            changes = self.replica.merge_update(news)
+            changes = self.replica.merge_update(update)
         except OutOfStepError as error:
             if error.needs_fetch:
                 log_event(Event.NEWS_FETCHED, kind=self._kind, reason=str(error))
-                self._needed_revision = max(self._needed_revision, news.revision)
+                self._needed_revision = max(self._needed_revision, update.revision)
                 self._list_next = True
                 self.supply.changed.give()
             raise
@@ -106,13 +107,13 @@
             self.note_confirmed(time.monotonic())
 
     async def _load_stale_list(self) -> None:
-        """Begin with what the store knew some seconds ago, for a tenth of a call."""
+        """Start with a list that may be seconds old and costs a tenth of a call."""
         outcome = await self._store.list_kind(self._kind, stale=True)
         if isinstance(outcome, Listing):
             self._apply_list(outcome)
 
     async def _wait_for_updates(self) -> bool:
-        """Wait while other relays' word will do; return whether it did."""
+        """Wait while updates of other relays suffice; return whether they did."""
         if self.fetching:
             return False
         wait_seconds = self.supply.measure_rest(self._kind, self._limit_seconds)
@@ -185,44 +186,49 @@
         self._store_available = available
 
     def note_confirmed(self, now: float) -> None:
-        """Take in that all that the store has is known."""
+        """Record that the known state was confirmed as current.
+
+        Args:
+            now: Time of the confirmation, monotonic seconds.
+        """
 
     def note_malformed(self, stored: StoredObject, error: ValueError) -> None:
-        """Take in that an object can't be decoded."""
+        """Record that an object can't be decoded."""
         self._malformed.note(
             self._kind, stored.name, stored.revision, str(error), time.monotonic()
         )
 
     def sort_changes(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
-        """Return changes that came together in the order in which they are taken in."""
+        """Return the changes of one batch in the order in which to apply them."""
         return changes
 
     relists_after_outage = False
-    """Whether a list is shorter after an outage than all changes since."""
+    """Whether to list instead of watch after an outage, as a list is shorter than all
+    changes since."""
 
     @abstractmethod
     def replace_all(self, objects: tuple[StoredObject, ...]) -> None:
-        """Take in a whole list."""
+        """Apply a whole list."""
 
     @abstractmethod
     def set(self, stored: StoredObject) -> None:
-        """Take in an object that was written."""
+        """Apply a write of an object."""
 
     @abstractmethod
     def remove(self, stored: StoredObject) -> None:
-        """Take in that an object is gone."""
+        """Apply the removal of an object."""
 
 
 class ConfigurationFollower(Follower):
-    """Keeps the newest configuration; its version never falls.
+    """Keeps the newest configuration; its version never decreases.
 
     Args:
         decode: Decodes a stored configuration; raises ``ValueError``.
         name: Name of the object that holds it.
     """
 
-    # A list has the newest version alone. A watch would bring each one since then in
-    # full, which takes seconds over a small link.
+    # A list contains the newest version only. A watch would return every version since
+    # the outage in full, which takes seconds over a slow link.
     relists_after_outage = True
 
     def __init__(
@@ -255,19 +261,19 @@
 
     @property
     def configuration(self) -> Configuration | None:
-        """The configuration in force, if one is known."""
+        """The configuration in force; ``None`` before the first one."""
         return self.table.configuration if self.table else None
 
     def subscribe(self, listener: Callable[[Configuration], None]) -> None:
-        """Have each configuration passed on before any request is handled by it."""
+        """Call a listener with each new configuration before requests use it."""
         self._listeners.append(listener)
 
     def is_overdue(self, now: float) -> bool:
-        """Return whether the store should have confirmed the configuration by now."""
+        """Return whether the last confirmation by the store is older than allowed."""
         return now - self.confirmed_at > self._limit_seconds
 
     def sort_changes(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
-        # The newest first, so that older ones needn't be decoded.
+        # Newest first, so that older versions aren't decoded.
         return changes[::-1]
 
     def replace_all(self, objects: tuple[StoredObject, ...]) -> None:
@@ -308,11 +314,12 @@
 
 
 class RunnerFollower(Follower):
-    """Keeps the table of runners.
+    """Keeps the table of runners up to date.
 
     Args:
-        decode: Decodes a runner's entry by name; raises ``ValueError``.
-        table: The table that is kept.
+        decode: Decodes a runner's entry from its name and content; raises
+            ``ValueError``.
+        table: The table to update.
     """
 
     def __init__(
@@ -349,9 +356,10 @@
     def set(self, stored: StoredObject) -> None:
         runner = self._decode(stored)
         if not self._accepts(stored, runner):
-            # As if it were missing: others get its work. A runner whose entry another
-            # writer spoilt writes it again at its next heartbeat, and keeps its record
-            # until then; it is used meanwhile only where no other is left.
+            # Treated like a missing entry, so that other runners get its requests. A
+            # runner whose entry another writer overwrote restores it at its next
+            # heartbeat. Until then the table keeps its state and uses it only as a last
+            # resort.
             self.table.remove_runner(stored.name, time.monotonic())
             return
         log_event(
@@ -376,12 +384,14 @@
         if runner is None:
             return False
         if not self._start_reports.admits(runner.started):
-            self.note_malformed(stored, ValueError("it doesn't tell its start"))
+            self.note_malformed(
+                stored, ValueError("start time is missing, which other entries have")
+            )
             return False
         return True
 
     def _decode_start(self, stored: StoredObject) -> int:
-        """Return the start of the life that an entry told of before it went."""
+        """Return the start time that a removed entry named, Unix milliseconds."""
         try:
             return self._decode_runner(stored.name, stored.spec).started
         except ValueError:
--- a/knapweedrail/relay/links.py
+++ b/knapweedrail/relay/links.py
@@ -1,4 +1,4 @@
-"""Links between a relay and one that it follows, and their messages."""
+"""Links between subscribers and sources, and their messages."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class LinkLostError(Exception):
-    """The other relay can't be reached, or has ended the link."""
+    """The other relay can't be reached, or has closed the link."""
 
 
 @attrs.frozen
 class Reading:
-    """What a follower tells.
+    """Request of a subscriber; it also serves as its heartbeat.
 
     Attributes:
-        clock: Its clock, seconds; it comes back with what is told next.
-        revisions: What it knows, by kind; 0 for nothing.
+        clock: The subscriber's clock, seconds; the next reply returns it.
+        revisions: Revision of its replica, by kind; 0 without a replica.
     """
 
     clock: float
@@ -29,13 +29,15 @@
 
 @attrs.frozen
 class EncodedUpdate:
-    """What is told of one kind.
+    """Update of one kind, encoded for sending.
 
     Attributes:
-        since: Revision that the changes lead on from; 0 if they are all there is.
-        revision: Revision that they lead to.
-        changes: As `replicas.encode_items` gives them; empty if there are none.
-        age: Seconds since the store last confirmed it; ``None`` if it never has.
+        kind: The kind of objects.
+        since: Revision that the update starts from; 0 if it lists all objects.
+        revision: Revision that it leads to.
+        changes: Encoded by `replicas.encode_items`; empty without changes.
+        age: Seconds since the store last confirmed the source's state; ``None`` if it
+            never has.
     """
 
     kind: str
@@ -47,10 +49,11 @@
 
 @attrs.frozen
 class Telling:
-    """What a follower is told.
+    """Reply of a source to a subscriber.
 
     Attributes:
-        clock: The newest clock that it has told.
+        clock: Clock value of the subscriber's last request, seconds.
+        kinds: One update for each kind.
     """
 
     clock: float
@@ -58,30 +61,30 @@
 
 
 class FollowerLink(ABC):
-    """A link to a relay that is followed. Its calls raise `LinkLostError`.
+    """A subscriber's link to a source. Its calls raise `LinkLostError`.
 
-    It begins with a reading; nothing is received before.
+    The subscriber sends a request first; there is no reply before.
     """
 
     @abstractmethod
     async def send(self, request: Reading) -> None:
-        """Tell a reading."""
+        """Send a request."""
 
     @abstractmethod
     async def receive(self) -> Telling:
-        """Wait for what is told next."""
+        """Wait for the next reply."""
 
 
 class WatcherLink(ABC):
-    """A link from a follower. Its calls raise `LinkLostError`."""
+    """A source's link to a subscriber. Its calls raise `LinkLostError`."""
 
     @abstractmethod
     async def receive(self) -> Reading:
-        """Wait for the next reading."""
+        """Wait for the next request."""
 
     @abstractmethod
     async def send(self, reply: Telling) -> None:
-        """Tell what is known."""
+        """Send a reply."""
 
 
 class Dialer(ABC):
@@ -89,4 +92,4 @@
 
     @abstractmethod
     def dial(self, member: Member) -> AbstractAsyncContextManager[FollowerLink]:
-        """Open a link; it may turn out only in the first call that nobody is there."""
+        """Open a link; an unreachable relay may only be noticed in the first call."""
--- a/knapweedrail/relay/malformed.py
+++ b/knapweedrail/relay/malformed.py
@@ -1,4 +1,4 @@
-"""Objects of the store that can't be used: counted, and told of once."""
+"""Objects of the store that can't be used: counted, and logged once."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from ..events import Event, log_event
 
 MAX_REMEMBERED_OBJECTS = 1000
-"""Objects of which it is known that they were told of; the oldest go first."""
+"""Objects that are remembered as recorded; the oldest are dropped first."""
 
 MAX_LOG_LINES = 20
 LOG_WINDOW_SECONDS = 10.0
-"""Most lines of a time. A writer that goes wrong writes all entries again and again,
-and its lines would take the place of those that tell what became of requests. The
-counter goes on."""
+"""Most log lines in a window of time. A faulty writer may write all entries again and
+again, and the lines on them would displace those on the outcomes of requests. The
+counter isn't limited."""
 
 MAX_NAME_CHARACTERS = 100
-"""Longest part of a name that is told."""
+"""Characters of a name that are logged."""
 
 
 class MalformedObjects:
-    """Counts what can't be used of the store, each change of an object once.
+    """Counts and logs malformed objects of the store, each change of an object once.
 
     Args:
-        count: Takes the kind of each.
+        count: Called with the kind of each malformed object.
     """
 
     def __init__(self, count: Callable[[str], None] | None = None) -> None:
@@ -35,10 +35,14 @@
         self._window_lines = 0
 
     def note(self, kind: str, name: str, revision: int, error: str, now: float) -> None:
-        """Take in that an object can't be used as it is.
+        """Record that an object can't be used.
 
         Args:
-            revision: Of its last change; a list tells of the same again.
+            kind: Kind of the object.
+            name: Name of the object.
+            revision: Revision of its last change; a further list returns the same one.
+            error: What is wrong with it.
+            now: Monotonic seconds.
         """
         if self._reported.get((kind, name)) == revision:
             return
--- a/knapweedrail/relay/members.py
+++ b/knapweedrail/relay/members.py
@@ -1,4 +1,4 @@
-"""The relays that take part: how they enter themselves, and which lend tokens."""
+"""Membership of the relays: registration in the store, and the order of lenders."""
 
 from __future__ import annotations
 
@@ -24,45 +24,53 @@
 MEMBER_KIND = "relay-members"
 
 LIST_SECONDS = 5.0
-"""Pause between lists of the relays. They come and go within seconds, but whoever asks
-a relay that is gone goes on to the next; the list may be stale, which costs a tenth of
-a call."""
+"""Pause between lists of the relays. Relays join and leave within seconds, but whoever
+calls a relay that is gone tries the next one. The list may be stale, which costs a
+tenth of a call."""
 
 MAX_RELAYS_AT_BASE_INTERVAL = 100
-"""Relays from which on the pause grows with their number. An entry is 231 bytes; 500
-of them every five seconds would be all of the 23 KB/s that a host has for control."""
+"""Number of relays above which the pause grows in proportion. An entry takes 231 bytes;
+500 of them every five seconds would use all of the 23 KB/s that a host has for control
+traffic."""
 
 SETTLE_SECONDS = 1.0
-"""Pause before each list that a relay waits for which was never listed before. Relays
-that start together enter themselves within it."""
+"""Pause before each list that a relay waits for if its host wasn't registered before.
+Relays that start at the same time register within this pause."""
 
 LISTS_UNTIL_SETTLED = 2
-"""Lists with a relay's own entry after which it knows those that entered themselves at
-the same time. A list may be old; one that shows the entry is younger than that."""
+"""Lists with the relay's own entry after which it knows the relays that registered at
+the same time. A list may be stale, but one that contains the entry is newer than the
+registration."""
 
 MAX_STALE_LISTS = 5
-"""Lists that may be old which a relay waits for, before it has a new one."""
+"""Stale lists that a relay waits for before it reads an up-to-date one."""
 
 RETRY_SECONDS = 0.5
-"""Pause between tries while the store doesn't answer."""
+"""Pause between attempts while the store doesn't answer."""
 
 LOCAL_LENDERS = 2
-"""Relays of the own data centre that are asked for tokens: the one that keeps the
-account, and one more while that is restarted or cut off."""
+"""Relays of the own data centre to borrow tokens from: the primary of the account, and
+one more while the primary restarts or is partitioned."""
 
 
 def compute_pause(relays: int) -> float:
-    """Return the pause between two lists of so many relays, seconds."""
+    """Return the pause between two lists of the relays, seconds.
+
+    Args:
+        relays: Number of relays.
+    """
     return LIST_SECONDS * max(1.0, relays / MAX_RELAYS_AT_BASE_INTERVAL)
 
 
 def rank_lenders(account: str, members: Iterable[Member]) -> list[Member]:
-    """Return relays in the order in which they keep an account.
-
-    The load it is for: many relays that each see few requests of an account. If each
-    drew on the ledger for itself, they would hold a largest request each, more than a
-    small account has, and write the ledger more often than it bears. So the first of
-    each data centre draws for all of it, and is chosen alike by all without a word.
+    """Return the relays ranked as primaries of an account.
+
+    If many relays that each see few requests of an account drew on the ledger
+    themselves, each would hold the tokens of a largest request. Together this is more
+    than a small account has, and the ledger would be written more often than it can
+    bear. Therefore only the first relay of each data centre, the primary, draws on the
+    ledger for its data centre. All relays rank by the same rendezvous hash, without
+    coordination.
     """
     return sorted(members, key=lambda member: hash_pair(account, member.host))
 
@@ -70,11 +78,13 @@
 def order_lenders(
     account: str, members: Iterable[Member], data_centre: str, holder: str
 ) -> list[Member]:
-    """Return the relays to ask for tokens of an account, in order.
+    """Return the relays to borrow tokens of an account from, in order.
 
     Args:
-        data_centre: The asking relay's own.
-        holder: The asking relay, which doesn't ask itself.
+        account: Name of the client account.
+        members: All relays.
+        data_centre: Data centre of the borrower.
+        holder: Holder of the borrower, which is left out.
     """
     first: dict[str, Member] = {}
     local: list[Member] = []
@@ -89,12 +99,17 @@
 
 
 class Membership(Task):
-    """Enters this relay in the store, and keeps the list of all.
+    """Registers this relay in the store, and keeps the list of all relays.
 
     Args:
         store: The platform's store.
         member: This relay.
-        malformed: Told of entries that can't be used.
+        malformed: Records entries that can't be used.
+
+    Attributes:
+        member: This relay.
+        settled: Whether relays that started at the same time are known.
+        first_listed: Set after the first list.
     """
 
     def __init__(
@@ -120,11 +135,11 @@
 
     @property
     def count(self) -> int:
-        """Number of relays that take part, as far as known."""
+        """Number of relays as of the last list."""
         return len(self._members)
 
     def list_all(self) -> list[Member]:
-        """Return all relays, as far as known."""
+        """Return all relays as of the last list."""
         return list(self._members.values())
 
     def list_others(self) -> list[Member]:
@@ -134,20 +149,21 @@
         return sorted(others, key=lambda m: m.data_centre != self.member.data_centre)
 
     def list_lenders(self, account: str) -> list[Member]:
-        """Return the relays to ask for tokens of an account, in order."""
+        """Return the relays to borrow tokens of an account from, in order."""
         return order_lenders(
             account, self.list_all(), self.member.data_centre, self.member.holder
         )
 
     def count_keepers(self) -> int:
-        """Return how many relays keep one account: one of each data centre."""
+        """Return the number of primaries of an account: one for each data centre."""
         return len({member.data_centre for member in self._members.values()})
 
     def keeps(self, account: str) -> bool:
         """Return whether this relay draws on the ledger for its data centre.
 
-        Remembered until the next list: it is asked once a second for each account, and
-        ranking the relays each time is a large part of what an idle relay costs.
+        The result is cached until the next list. It is needed once a second for each
+        account, and ranking the relays each time would be a large part of the CPU time
+        of an idle relay.
         """
         if not self.settled:
             return False
@@ -164,36 +180,40 @@
         return rank_lenders(account, here)[0].host == self.member.host
 
     def find_standing(self, runner: str, rate: float) -> Standing:
-        """Return this relay's place among those that may send to a limited runner.
+        """Return this relay's standing among those that may send to a limited runner.
 
         A relay that doesn't know the others yet sends nothing there.
+
+        Args:
+            runner: Name of the runner.
+            rate: Limit of the runner, requests a second.
         """
         standing = self._senders.find_standing(runner, rate)
         return standing if self.settled else attrs.evolve(standing, sends=False)
 
     def note_life(self, known: Member, holder: str) -> None:
-        """Take in that another life of a relay's host answered than was known."""
+        """Record that another incarnation of a relay answered than the known one."""
         if self._members.get(known.host) == known:
             self._members[known.host] = attrs.evolve(known, holder=holder)
 
     def find_later(self, holder: str) -> Member | None:
-        """Return the present life of a holder's host if that is another one."""
+        """Return the current incarnation on a holder's host if it is another one."""
         member = self._members.get(get_host(holder))
         return member if member is not None and member.holder != holder else None
 
     def note_caller(self, holder: str) -> None:
-        """Take in that a relay has called, perhaps in a life that isn't listed yet."""
+        """Record a call from a relay, whose incarnation may not be listed yet."""
         known = self.find_later(holder)
         if known is not None:
             self.note_life(known, holder)
 
     def is_present(self, holder: str) -> bool:
-        """Return whether a holder is the present life of a relay, as far as known."""
+        """Return whether a holder is the last known incarnation of a relay."""
         member = self._members.get(get_host(holder))
         return member is not None and member.holder == holder
 
     def list_sources(self) -> tuple[list[Member], list[Member]]:
-        """Return the relays whose news to follow, for each source the best first."""
+        """Return the candidates for each of the two sources, the best first."""
         if self._planned_sources is None:
             self._planned_sources = plan_sources(self.list_all(), self.member)
         return self._planned_sources
@@ -212,12 +232,15 @@
             await anyio.sleep(compute_pause(self.count) * random.uniform(0.8, 1.2))
             await self._list(stale=True)
             if self._own_entry_malformed:
-                # Relays that start later can't read it, and would do without this one.
+                # Relays that start later can't decode the entry and wouldn't know this
+                # relay.
                 self._own_entry_malformed = not await self._register()
 
     async def _wait_until_settled(self) -> None:
-        """Wait until relays that start at the same time are listed; before, each would
-        take itself for the only one."""
+        """Wait until relays that start at the same time are listed.
+
+        Before that, each relay would assume that it is the only one.
+        """
         shown = 0
         for _ in range(MAX_STALE_LISTS):
             await anyio.sleep(SETTLE_SECONDS)
@@ -229,7 +252,7 @@
             await anyio.sleep(RETRY_SECONDS)
 
     async def leave(self) -> None:
-        """Take this relay's entry out of the store."""
+        """Remove this relay's entry from the store."""
         await self._store.delete(MEMBER_KIND, self.member.host)
 
     async def _register(self) -> bool:
@@ -243,7 +266,8 @@
             )
         match outcome:
             case Conflict(stored):
-                # An earlier life of this host is listed, and so are the others' lives.
+                # An earlier incarnation on this host was registered, so the list also
+                # contains the other relays.
                 self._previously_registered = True
                 self._revision = stored.revision
                 outcome = await self._store.replace(
@@ -276,11 +300,11 @@
         return True
 
     def _decode_entry(self, stored: StoredObject) -> Member | None:
-        """Return the relay that an entry names, or that it named while it was sound.
+        """Return the relay that an entry describes, or its last known valid state.
 
-        A relay whose entry another writer spoils goes on taking part. Left out, it
-        would miss in the number of relays, by which each takes its part of the
-        retries that they may make together.
+        A relay whose entry another writer overwrites remains a member. Without it, the
+        number of relays would be too low, by which each relay computes its share of the
+        retries of all.
         """
         try:
             return decode_member(stored.name, stored.spec)
@@ -307,7 +331,7 @@
     """Decode a relay's entry.
 
     Raises:
-        ValueError: If it doesn't have the form that `encode_member` gives.
+        ValueError: If it isn't in the format of `encode_member`.
     """
     if not isinstance(spec, dict):
         raise ValueError(f"not a relay's entry: {spec!r:.50}")
@@ -316,7 +340,7 @@
         raise ValueError(f"not a relay's entry: {spec!r:.200}")
     member = Member(name, *texts)
     if member.holder.rpartition("/")[0] != name:
-        raise ValueError(f"{member.holder!r:.100} is no life of this host")
+        raise ValueError(f"holder {member.holder!r:.100} doesn't belong to this host")
     fault = check_address(member.address) if member.address else None
     if fault is not None:
         raise ValueError(f"{fault:.100}")
--- a/knapweedrail/relay/neighbours.py
+++ b/knapweedrail/relay/neighbours.py
@@ -1,4 +1,8 @@
-"""The other relays: lending tokens to each other, and word of crashes, over gRPC."""
+"""Client and server of the gRPC calls between relays.
+
+Relays lend each other tokens, and report requests that crash runners and limits of
+runners.
+"""
 
 from __future__ import annotations
 
@@ -33,42 +37,46 @@
 from .reservations import Shortage
 
 CALL_SECONDS = 0.08
-"""Longest wait for another relay that looks nothing up: it is a few milliseconds away,
-and a caller waits."""
+"""Timeout of a call that the other relay answers from memory. The relay is a few
+milliseconds away, and a caller is waiting."""
 
 LEND_SECONDS = 0.2
-"""How much longer a lender may take that has to ask the ledger first: some tens of its
-answers. It leaves a caller that waits for tokens time to ask one more relay."""
+"""Additional timeout for a lender that has to read the ledger first: as long as some
+tens of the ledger's answers take. A caller that waits for tokens still has time to try
+one more relay."""
 
 MIN_BACKOFF_SECONDS = 2.0
 MAX_BACKOFF_SECONDS = 8.0
-"""How long a relay that didn't answer isn't asked again: about the time in which a dead
-one is replaced, doubled at each silence, as the list keeps those that never return. A
-fleet must serve again within some twelve seconds after a loss."""
+"""Backoff after a call that a relay didn't answer. The first one is about the time in
+which a dead relay is replaced. It doubles with each failure, as the list keeps relays
+that never return. The maximum lets a fleet serve again within some twelve seconds after
+a loss of hosts."""
 
 SHORTAGE_CACHE_SECONDS = 0.5
-"""How long a relay that had nothing of an account isn't asked for it again. A budget
-that is spent everywhere would otherwise cost a call to each relay for each request."""
+"""How long a relay that lacked tokens of an account isn't asked for them again. With a
+budget that is spent everywhere, each request would otherwise call each relay."""
 
 MAX_SUSPECT_RECIPIENTS = 16
-"""Relays told of a crash's requests. A caller that sends one again reaches any relay;
-with sixteen that know, and more told at each further crash, it ends after some more."""
+"""Relays that receive the suspects of one crash. A caller that sends such a request
+again may reach any relay. With sixteen relays informed at each crash, the request is
+refused after a few further crashes."""
 
 MAX_ENTRIES_PER_CALL = 100
-"""Requests told of at a time: more than one relay has at one runner."""
+"""Suspects or limits in one call: more than the requests of one relay at one runner."""
 
 
 @attrs.frozen(kw_only=True)
 class Trade:
-    """What one relay asks another for, and gives back to it, of one account.
+    """Tokens of one account that a relay borrows from and returns to another one.
 
     Attributes:
-        holder: The holder that asks.
-        lender: The holder that is asked; no other may take tokens back for it.
-        needed: Tokens for requests that wait.
-        wanted: Tokens to last for a while, those needed included.
-        returned: Given back to the lender in all.
-        spent: Spent of what the lender lent, in all.
+        account: Name of the client account.
+        holder: Holder that borrows.
+        lender: Holder that lends; no other holder may take tokens back for it.
+        needed: Tokens for waiting requests.
+        wanted: Tokens to last for a while, including those needed.
+        returned: Total returned to the lender.
+        spent: Total spent of the tokens that the lender lent.
     """
 
     account: str
@@ -82,12 +90,12 @@
 
 @attrs.frozen
 class TradeAnswer:
-    """What a relay lends.
+    """A lender's answer.
 
     Attributes:
-        lender: The holder that answers.
-        total: Lent to the asking holder in all, not just this time.
-        shortage: Why less was lent than needed.
+        lender: Holder that answers.
+        total: Total lent to the borrower so far, not only by this call.
+        shortage: Why less was lent than needed; ``None`` if enough was.
     """
 
     lender: str
@@ -97,12 +105,12 @@
 
 @attrs.frozen
 class Backoff:
-    """Calls in a row that a relay's present life didn't answer.
+    """Backoff of calls to an incarnation of a relay that didn't answer.
 
     Attributes:
-        holder: The life that was called.
-        count: Number of calls.
-        avoided_until: When it may be called again.
+        holder: The incarnation.
+        failures: Number of consecutive failed calls.
+        ends_at: When it may be called again, monotonic seconds.
     """
 
     holder: str
@@ -120,25 +128,25 @@
 }
 
 SuspectsHandler = Callable[[list[str]], None]
-"""Takes what another relay told of requests that were on runners as these crashed."""
+"""Handles another relay's report of requests that ran on runners that crashed."""
 
 LimitsHandler = Callable[[list[LimitNews]], None]
-"""Takes what another relay told of runners' limits."""
+"""Handles another relay's report of limits of runners."""
 
 FeedHandler = Callable[[WatcherLink], Awaitable[None]]
-"""Tells a relay that follows this one what is known of the store."""
+"""Serves updates of the store to a subscriber."""
 
 
 class TokenLender(ABC):
-    """Holds tokens, and lends them to other relays."""
+    """Lends tokens to other relays."""
 
     @abstractmethod
     async def answer_trade(self, trade: Trade) -> TradeAnswer:
-        """Take back what another relay returns, and lend what it needs."""
+        """Take back the tokens that another relay returns, and lend what it needs."""
 
 
 class Neighbours:
-    """Calls to the other relays."""
+    """Client for calls to the other relays, with a backoff for each of them."""
 
     def __init__(self) -> None:
         self._channels: dict[str, Channel] = {}
@@ -148,14 +156,18 @@
         ] = {}
 
     def is_avoided(self, member: Member, now: float) -> bool:
-        """Return whether a relay's present life was silent lately."""
+        """Return whether a relay's present incarnation failed to answer recently.
+
+        Args:
+            now: Monotonic seconds.
+        """
         backoff = self._backoffs.get(member.address)
         if backoff is None or backoff.holder != member.holder:
             return False
         return now < backoff.ends_at
 
     def note_heard(self, holder: str) -> None:
-        """Take in that a relay has called this one, so it can be reached."""
+        """Record a call from a relay: it is reachable, which ends its backoff."""
         for address, backoff in list(self._backoffs.items()):
             if backoff.holder == holder:
                 del self._backoffs[address]
@@ -163,14 +175,14 @@
     def recall_shortage(
         self, member: Member, account: str, now: float
     ) -> Shortage | None:
-        """Return why a relay had too few tokens of an account a moment ago."""
+        """Return why a relay recently lacked tokens of an account, if it did."""
         until, shortage = self._recent_shortages.get(
             (member.address, account), (0.0, None)
         )
         return shortage if now < until else None
 
     async def trade(self, member: Member, trade: Trade) -> TradeAnswer | None:
-        """Ask one relay for tokens, or give some back; ``None`` if it is silent."""
+        """Borrow tokens from a relay or return some; ``None`` if it doesn't answer."""
         now = time.monotonic()
         request = TradeRequest(**attrs.asdict(trade))
         seconds = CALL_SECONDS + (LEND_SECONDS if trade.needed else 0.0)
@@ -186,11 +198,11 @@
         return TradeAnswer(reply.lender, reply.total, shortage)
 
     def note_answer(self, member: Member) -> None:
-        """Take in that a relay has answered."""
+        """Record that a relay has answered."""
         self._backoffs.pop(member.address, None)
 
     def note_silence(self, member: Member, now: float) -> None:
-        """Take in that a relay was called in vain."""
+        """Record that a relay didn't answer, and start or extend its backoff."""
         before = self._backoffs.get(member.address)
         again = before is not None and before.holder == member.holder
         failures = before.failures + 1 if again else 1
@@ -198,7 +210,7 @@
         self._backoffs[member.address] = Backoff(member.holder, failures, now + pause)
 
     async def tell_suspects(self, members: list[Member], lines: list[str]) -> None:
-        """Tell other relays of requests that were on runners as these crashed."""
+        """Report requests that ran on runners that crashed to other relays."""
         request = SuspectsRequest(lines=lines[:MAX_ENTRIES_PER_CALL])
         async with anyio.create_task_group() as group:
             for member in members[:MAX_SUSPECT_RECIPIENTS]:
@@ -207,7 +219,7 @@
                 )
 
     async def tell_limits(self, members: list[Member], limits: list[LimitNews]) -> None:
-        """Tell other relays what is news of runners' limits."""
+        """Report changed limits of runners to other relays."""
         entries = [
             RunnerLimit(**attrs.asdict(limit))
             for limit in limits[:MAX_ENTRIES_PER_CALL]
@@ -228,11 +240,12 @@
     async def _call(
         self, member: Member, method: str, request: Any, seconds: float
     ) -> Any:
-        """Call another relay, in a task of its own; ``None`` if it is silent.
+        """Call another relay in a task of its own; ``None`` if it doesn't answer.
 
-        What goes wrong without that task: when a connection breaks, the library cancels
-        each task that waits on it, and the task stays marked as cancelled. Whatever
-        bounded it from outside then ends with a cancellation instead of going on.
+        When a connection breaks, the RPC library cancels each task that waits on it,
+        and the task stays marked as cancelled. Without a separate task, an enclosing
+        cancel scope of the caller would then end with a cancellation instead of
+        continuing.
         """
         replies: list[Any] = []
         async with anyio.create_task_group() as group:
@@ -265,7 +278,7 @@
 
 
 class _RelaysService(RelaysBase):
-    """Answers other relays."""
+    """Server side of the calls between relays."""
 
     def __init__(
         self,
@@ -325,7 +338,7 @@
 
 
 def _ignore_limits(limits: list[LimitNews]) -> None:
-    """Take no notice of runners' limits; for a relay that sends to no runner."""
+    """Ignore limits of runners; for a relay that sends requests to no runner."""
 
 
 def make_server(
@@ -335,7 +348,7 @@
     address: str,
     hear_limits: LimitsHandler = _ignore_limits,
 ) -> RpcServer:
-    """Return the server that answers other relays, not started yet."""
+    """Return the server for calls of other relays; it isn't started yet."""
     return RpcServer(
         [_RelaysService(lender, handle_suspects, serve_feed, hear_limits)], address
     )
--- a/knapweedrail/relay/news.py
+++ b/knapweedrail/relay/news.py
@@ -1,4 +1,8 @@
-"""Task that follows other relays' news of the store, and tells them its own."""
+"""Task that exchanges updates of the store with other relays.
+
+A relay subscribes to the updates of two other relays, its sources, and serves its own
+to the relays that subscribe to it.
+"""
 
 from __future__ import annotations
 
@@ -30,27 +34,28 @@
 from .supplies import NewsTaker, Supply
 
 SUBSCRIBER_TIMEOUT_FACTOR = 3.0
-"""How many times as long as a source may be silent a follower may be, before it is no
-longer told: it may be paused, and goes on when it wakes."""
+"""Multiple of the source timeout after which a subscriber without heartbeats is
+dropped. Its process may only be paused, and continues when it is resumed."""
 
 FIRST_LIST_WAIT_SECONDS = 0.5
-"""How long a relay that starts waits for the list of relays before it watches the
-store for itself: some tens of the store's answers."""
+"""Longest wait of a starting relay for the list of relays before it watches the store
+itself: as long as some tens of the store's answers take."""
 
 FLEET_START_WAIT_SECONDS = 8.0
-"""The same, in a fleet that starts for the first time: until its relays are listed, and
-have found whom to follow. Each would read all lists for itself otherwise."""
+"""Wait before a relay watches the store itself if the whole fleet starts for the first
+time. It covers the time until the relays are listed and have chosen their sources.
+Without it, each relay would read all lists from the store."""
 
 
 @attrs.define(eq=False)
 class _Subscriber:
-    """A relay that follows this one.
+    """A relay that subscribes to the updates of this one.
 
     Attributes:
-        clock: Its clock as last told.
-        sent: The revision that it was told last, by kind.
-        due: Whether it waits for an answer.
-        wake: Given when there is something to tell.
+        clock: Clock value of its last request, seconds.
+        sent_revisions: Last revision sent to it, by kind.
+        reply_due: Whether its last request still needs a reply.
+        update_available: Notified when there may be something to send.
     """
 
     clock: float
@@ -59,7 +64,7 @@
     update_available: Signal = attrs.field(factory=Signal)
 
     def note_sent(self, reply: Telling) -> None:
-        """Take in what it is told."""
+        """Record that a reply is sent to it."""
         self.reply_due = False
         for update in reply.kinds:
             known = self.sent_revisions.get(update.kind, 0)
@@ -67,14 +72,14 @@
 
 
 class NewsFeed(Task, Supply):
-    """Follows two other relays, and tells those that follow this one.
+    """Receives updates from two sources and sends updates to subscribers.
 
     Args:
-        membership: Which relays there are.
-        neighbours: Knows which of them have been silent.
-        dialer: Opens links to them.
-        takers: Take in the news, one of each kind.
-        timing: How often sources are asked.
+        membership: List of the relays.
+        neighbours: Tracks which relays are in backoff.
+        dialer: Opens links to sources.
+        receivers: Apply the updates, one receiver for each kind.
+        timing: Heartbeat interval and timeout of sources.
         first_start: Whether the whole fleet starts for the first time.
     """
 
@@ -104,11 +109,11 @@
 
     @property
     def is_followed(self) -> bool:
-        """Whether other relays rely on this one."""
+        """Whether other relays subscribe to this one."""
         return bool(self._subscribers)
 
     def list_sources(self) -> list[Member]:
-        """Return the relays that are followed now."""
+        """Return the current sources."""
         return [source.member for source in self._sources if source is not None]
 
     async def run(self) -> None:
@@ -132,11 +137,12 @@
         if self._first_start:
             delays.append(self._started_at + FLEET_START_WAIT_SECONDS - now)
         if self._membership.count > 1:
-            # Its sources are found meanwhile, which start at the same time as it does
-            # when all hosts lost power.
+            # After a power loss of all hosts, the sources start at the same time as
+            # this relay. They come up during this wait.
             delays.append(self._started_at + self._timing.timeout - now)
         if any(self._membership.list_sources()):
-            # A source finds the store back at the same time, and tells of it.
+            # A source notices the recovery of the store at the same time and sends an
+            # update.
             delays.append(self._available_at + self._timing.heartbeat_interval - now)
         return max(delays, default=0.0)
 
@@ -148,7 +154,7 @@
         self._available_at = time.monotonic()
 
     async def serve(self, link: WatcherLink) -> None:
-        """Tell a follower what is known until it is gone."""
+        """Serve updates to a subscriber until its link ends."""
         try:
             request = await link.receive()
         except LinkLostError:
@@ -220,7 +226,7 @@
         )
 
     async def _maintain_source(self, slot: int) -> None:
-        """Keep one source, the best that answers."""
+        """Keep one source: the best-ranked relay that answers."""
         while True:
             member = self._choose_source(slot)
             if member is None:
@@ -252,13 +258,14 @@
         return best is not None and best.host == member.host
 
     async def _subscribe(self, slot: int, source: Source) -> bool:
-        """Follow a relay until it is silent, or a better one is found.
+        """Subscribe to a source until it times out or a better one is available.
 
-        In a task of its own: when a connection breaks, the RPC library cancels each
-        task that waits on it, and the task stays marked as cancelled.
+        The subscription runs in a task of its own: when a connection breaks, the RPC
+        library cancels each task that waits on it, and the task stays marked as
+        cancelled.
 
         Returns:
-            Whether it was heard to the end.
+            Whether the source answered until the end.
         """
         source_lost = anyio.Event()
         async with anyio.create_task_group() as group:
@@ -288,8 +295,7 @@
     async def _send_heartbeats(
         self, slot: int, link: FollowerLink, source: Source, source_lost: anyio.Event
     ) -> None:
-        """Ask for word again and again, until the source is silent or a better one is
-        found."""
+        """Send heartbeats until the source times out or a better one is available."""
         while True:
             with anyio.move_on_after(self._timing.heartbeat_interval):
                 await source_lost.wait()
@@ -305,7 +311,8 @@
             for kind, receiver in self._receivers.items()
         }
         try:
-            # The first one opens the connection: a host without power gives no answer.
+            # The first request opens the connection, which a host without power never
+            # answers.
             with anyio.fail_after(self._timing.heartbeat_interval):
                 await link.send(Reading(time.monotonic(), revisions))
         except (LinkLostError, TimeoutError):
@@ -332,23 +339,23 @@
     def _apply_update(
         self, source: Source, clock: float, update: EncodedUpdate
     ) -> None:
-        """Take in what a source tells of one kind.
+        """Apply a source's update of one kind.
 
         Raises:
-            OutOfStepError: If it doesn't lead on from what is known here.
+            OutOfStepError: If it can't be applied to the local replica.
             ValueError: If it can't be decoded.
         """
         receiver = self._receivers.get(update.kind)
         if receiver is None:
             return
-        news = News(
+        kind_update = News(
             update.kind, update.since, update.revision, decode_items(update.changes)
         )
         confirmed_at = float("-inf")
         if update.age is not None:
             confirmed_at = clock - update.age
         try:
-            receiver.take_news(news, confirmed_at)
+            receiver.take_news(kind_update, confirmed_at)
         except OutOfStepError:
             if not receiver.fetching:
                 raise
--- a/knapweedrail/relay/patches.py
+++ b/knapweedrail/relay/patches.py
@@ -1,7 +1,8 @@
-"""Differences between two JSON values.
+"""Patches between two JSON values.
 
-Pure. A configuration of hundreds of routes changes by a few fields at a time, and each
-change goes to every relay of the fleet over links of a few Mbit/s.
+Pure: no I/O and no clock. A configuration of hundreds of routes changes by a few fields
+at a time, and each change is sent to every relay of the fleet over links of a few
+Mbit/s.
 """
 
 from __future__ import annotations
@@ -13,17 +14,19 @@
 
 
 class _Form(enum.StrEnum):
-    """Forms of a patch, the first item of its list."""
+    """Forms of a patch; the form is the first item of the patch's list."""
 
     VALUE = "value"  # [VALUE, the new value]
-    FIELDS = "fields"  # [FIELDS, patches by key, keys that are gone]
-    ITEMS = "items"  # [ITEMS, patches by index], of a list of the same length
-    SPLICE = "splice"  # [SPLICE, where it begins, number of items gone, new items]
+    FIELDS = "fields"  # [FIELDS, patches by key, removed keys]
+    ITEMS = "items"  # [ITEMS, patches by index], for lists of the same length
+    SPLICE = "splice"  # [SPLICE, start index, number of removed items, new items]
 
 
 def is_same(left: Any, right: Any) -> bool:
-    """Return whether two values are the same JSON: numbers by their type as well, the
-    fields of an object in any order."""
+    """Return whether two values are the same JSON.
+
+    Numbers must have the same type, and the fields of an object may be in any order.
+    """
     return _render(left) == _render(right)
 
 
@@ -32,7 +35,7 @@
 
 
 def make_patch(old: Any, new: Any) -> list[Any]:
-    """Return what makes one value of another."""
+    """Return the patch that turns the old value into the new one."""
     if isinstance(old, dict) and isinstance(new, dict):
         changed = {
             key: make_patch(old[key], value) if key in old else [_Form.VALUE, value]
@@ -65,23 +68,25 @@
 
 
 def apply_patch(old: Any, patch: list[Any]) -> Any:
-    """Return the value that a patch makes; the old one stays as it is.
+    """Apply a patch and return the new value; the old one isn't changed.
 
     Raises:
-        ValueError: If it isn't a patch of this value.
+        ValueError: If the patch doesn't apply to this value.
     """
     try:
         return _apply(old, patch)
     except (AttributeError, IndexError, KeyError, TypeError, ValueError) as error:
-        raise ValueError(f"not a patch of this value: {error!r:.200}") from error
+        raise ValueError(
+            f"patch doesn't apply to this value: {error!r:.200}"
+        ) from error
 
 
 def _apply(old: Any, patch: list[Any]) -> Any:
     match patch:
         case [_Form.VALUE, value]:
             return value
-        case [_Form.FIELDS, changed, gone]:
-            kept = {key: value for key, value in old.items() if key not in gone}
+        case [_Form.FIELDS, changed, removed]:
+            kept = {key: value for key, value in old.items() if key not in removed}
             return kept | {
                 key: _apply(old.get(key), part) for key, part in changed.items()
             }
@@ -90,6 +95,6 @@
             for index, part in changed.items():
                 items[int(index)] = _apply(items[int(index)], part)
             return items
-        case [_Form.SPLICE, start, gone, items]:
-            return [*old[:start], *items, *old[start + gone :]]
-    raise ValueError(f"no form of a patch: {patch!r:.50}")
+        case [_Form.SPLICE, start, removed, items]:
+            return [*old[:start], *items, *old[start + removed :]]
+    raise ValueError(f"unknown form of patch: {patch!r:.50}")
--- a/knapweedrail/relay/reach.py
+++ b/knapweedrail/relay/reach.py
@@ -1,4 +1,4 @@
-"""Whether the store answers a relay, as its followers find out together."""
+"""Probing of an unavailable store, shared by all watchers of a relay."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 MIN_BACKOFF_SECONDS = 0.2
 MAX_BACKOFF_SECONDS = 1.0
-"""Least times between calls while the store is away, doubled each time. All relays call
-again when it returns; a second is soon enough for every bound that the operators set,
-and spreads their calls."""
+"""Bounds of the backoff between calls while the store is unavailable; it doubles each
+time. All relays call again when the store recovers. A second is soon enough for every
+bound that operators set, and spreads their calls."""
 
 
 class StoreReach:
-    """Finds out for all followers of a relay when a store that was away is back.
+    """Detects for all watchers of a relay that the store is available again.
 
-    A store that comes back doesn't answer what it took before, so calls that wait then
-    are given up. One follower finds out by a read that may be stale and costs a tenth
-    of a call.
+    A store that recovers doesn't answer the calls that it accepted before, so waiting
+    calls are abandoned then. One watcher probes with a read that may be stale and costs
+    a tenth of a call.
 
     Args:
         store: The store.
@@ -43,7 +43,7 @@
 
     @contextlib.contextmanager
     def abandon_on_recovery(self) -> Iterator[None]:
-        """Run a call that is given up when the store is found back."""
+        """Run a call that is abandoned when the store is found available again."""
         with anyio.CancelScope() as scope:
             self._abandonable_calls.add(scope)
             try:
@@ -52,14 +52,14 @@
                 self._abandonable_calls.discard(scope)
 
     def reset_backoff(self) -> None:
-        """Take in that a follower's call was answered."""
+        """Reset the backoff after a watcher's call was answered."""
         self._backoff = MIN_BACKOFF_SECONDS
 
     async def wait_until_available(self, waited: float) -> None:
-        """Return when the store answers again.
+        """Wait until the store answers a probe.
 
         Args:
-            waited: How long the call lasted that found it away, seconds.
+            waited: Duration of the call that failed, seconds.
         """
         unavailable_at = time.monotonic()
         async with self._probe_lock:
@@ -73,7 +73,7 @@
             scope.cancel()
 
     async def _probe(self) -> float | None:
-        """Return how long a read lasted if it failed."""
+        """Return the duration of a probe that failed, seconds; ``None`` on success."""
         began_at = time.monotonic()
         outcome = await self._store.peek(self._kind, self._name)
         if isinstance(outcome, Unavailable):
@@ -81,7 +81,11 @@
         return None
 
     def _draw_backoff(self, waited: float) -> float:
-        """Return the pause after a call that failed, less for one that took long."""
+        """Return the pause after a failed call, less the call's own duration.
+
+        Args:
+            waited: Duration of the call, seconds.
+        """
         backoff = max(MIN_BACKOFF_SECONDS, self._backoff - waited)
         self._backoff = min(MAX_BACKOFF_SECONDS, 2 * self._backoff)
         return backoff * random.uniform(0.5, 1.0)
--- a/knapweedrail/relay/replicas.py
+++ b/knapweedrail/relay/replicas.py
@@ -1,9 +1,10 @@
-"""What a relay knows of one kind of the store's objects, to tell others.
+"""Replica of one kind of the store's objects, and updates between replicas.
 
-Pure. A replica holds a revision of the store and all objects of its kind as they are
-there. What it tells leads on from a revision that its reader has, names each object
-that has changed since, and says how it is now; so a reader can take in what others tell
-it in any order, and nobody ever goes back.
+Pure: no I/O and no clock. A replica holds all objects of its kind as of one revision of
+the store. An update starts from a revision that the subscriber already has, names each
+object that has changed since then, and carries its present state. A subscriber can
+therefore apply updates from several sources in any order, and never reverts to an
+earlier state.
 """
 
 from __future__ import annotations
@@ -19,24 +20,24 @@
 from .stores import Change, StoredObject, Unreadable
 
 MAX_REMOVED_OBJECTS = 1000
-"""Objects that are gone and still told of. A reader that hasn't heard of the oldest
-gets the whole list."""
+"""Removed objects that are remembered. A subscriber whose revision is older than the
+oldest remembered removal gets the whole list."""
 
 LARGE_OBJECT_BYTES = 2048
-"""Size from which on an object is told by its difference. Runners' entries are a few
+"""Encoded size from which an object is sent as a patch. Entries of runners take a few
 hundred bytes, configurations tens of thousands and more."""
 
 MAX_UPDATE_BYTES = 32_768
-"""Largest object or difference that is told to others. One relay of a data centre tells
-some eighty, over a link that carries a megabyte a second; the store's is a hundred
-times as wide, so that what is larger is fetched there."""
+"""Largest object or sum of patches in an update. One relay of a data centre serves some
+eighty others over a link of one megabyte a second. The link of the store is a hundred
+times as fast, so subscribers fetch larger objects there."""
 
 MAX_PATCHES = 32
-"""Differences kept of one object."""
+"""Patches kept for one object."""
 
 
 class UpdateForm(enum.StrEnum):
-    """How a change is told."""
+    """How an update represents the change of an object."""
 
     WRITTEN = "written"
     REMOVED = "removed"
@@ -47,15 +48,15 @@
 
 @attrs.frozen
 class ObjectUpdate:
-    """One object that has changed.
+    """The change of one object.
 
     Attributes:
-        name: Of the object.
-        revision: Of its last change.
-        told: How it is told.
-        value: What it holds, or held when it was removed; the differences, oldest
-            first; nothing if it is too large.
-        base: Revision of the object from which the differences lead on.
+        name: Name of the object.
+        revision: Revision of its last change.
+        form: How the change is represented.
+        value: The object's content, or its last content if it was removed; a list of
+            patches, oldest first, if patched; ``None`` if too large or unreadable.
+        base: Revision of the object that the first patch applies to.
     """
 
     name: str
@@ -67,11 +68,11 @@
 
 @attrs.frozen
 class News:
-    """What has changed in a kind.
+    """The changes of a kind between two revisions of the store.
 
     Attributes:
-        since: Revision from which it leads on; 0 if it names all objects there are.
-        revision: Revision to which it leads.
+        since: Revision that the update starts from; 0 if it lists all objects.
+        revision: Revision that the update leads to.
     """
 
     kind: str
@@ -81,10 +82,10 @@
 
 
 class OutOfStepError(Exception):
-    """News that doesn't lead on from what is known, or is too large to be told.
+    """An update doesn't apply to the replica, or omits an object that is too large.
 
     Attributes:
-        fetch: Whether what it tells of has to be read from the store.
+        needs_fetch: Whether the changed objects must be read from the store.
     """
 
     def __init__(self, reason: str, needs_fetch: bool) -> None:
@@ -105,9 +106,9 @@
     """All objects of one kind, as of a revision of the store.
 
     Attributes:
-        revision: That revision; 0 before any was seen.
-        oldest: Revision from which on it can tell all changes.
-        keep_patches: Whether others are told, so that differences are worked out.
+        revision: Revision of the store; 0 before the first list.
+        oldest_revision: Oldest revision from which all changes are known.
+        keep_patches: Whether to compute and keep patches, as other relays subscribe.
     """
 
     kind: str
@@ -122,9 +123,9 @@
     _encoded: dict[int, bytes] = attrs.field(factory=dict)
 
     def apply_list(self, objects: tuple[StoredObject, ...], revision: int) -> bool:
-        """Take in a whole list; return whether it is news.
+        """Apply a whole list; return whether it is newer than the replica.
 
-        A list may be as of an earlier revision than what is known; it tells nothing.
+        A list of an earlier revision than the replica's is ignored.
         """
         if revision <= self.revision:
             return False
@@ -139,47 +140,51 @@
         return True
 
     def apply_changes(self, changes: tuple[Change, ...], revision: int) -> list[Change]:
-        """Take in what the store says of changes; return those that are news."""
+        """Apply changes from the store; return those that weren't applied yet."""
         if revision <= self.revision:
             return []
         found = [change for change in changes if self._apply_change(change, revision)]
         self._advance(revision)
         return found
 
-    def merge_update(self, news: News) -> list[Change]:
-        """Take in what another relay tells; return what changed by it.
+    def merge_update(self, update: News) -> list[Change]:
+        """Apply an update of another relay; return the changes that it made.
 
         Raises:
-            OutOfStepError: If it can't be taken in; nothing has changed then.
+            OutOfStepError: If it doesn't apply; the replica is left unchanged.
         """
-        if news.revision <= self.revision:
+        if update.revision <= self.revision:
             return []
-        if news.since > self.revision:
-            raise OutOfStepError(f"leads on from {news.since}", needs_fetch=False)
-        found = [self._decode_item(item) for item in news.items]
-        if not news.since:
-            named = {item.name for item in news.items}
-            gone = [self._objects[n] for n in self._objects if n not in named]
-            found.extend(Change(stored, removed=True) for stored in gone)
+        if update.since > self.revision:
+            raise OutOfStepError(
+                f"update starts from revision {update.since}, after the replica's",
+                needs_fetch=False,
+            )
+        found = [self._decode_item(item) for item in update.items]
+        if not update.since:
+            named = {item.name for item in update.items}
+            missing = [self._objects[n] for n in self._objects if n not in named]
+            found.extend(Change(stored, removed=True) for stored in missing)
         if not self.revision:
-            self.oldest_revision = news.revision
-        patched = {i.name: i for i in news.items if i.form is UpdateForm.PATCHED}
+            self.oldest_revision = update.revision
+        patched = {i.name: i for i in update.items if i.form is UpdateForm.PATCHED}
         for item in patched.values():
             self._record_received_patches(item)
         changed = [change for change in found if not self._is_applied(change)]
         for change in changed:
             if change.removed:
-                self._remove(change.stored, news.revision)
+                self._remove(change.stored, update.revision)
             else:
                 self._set(change.stored, compare=change.stored.name not in patched)
-        self._advance(news.revision)
+        self._advance(update.revision)
         return changed
 
     def encode_changes(self, since: int) -> bytes:
-        """Return what changed since a revision, encoded; empty if nothing did.
+        """Return the changes since a revision, encoded; empty if there are none.
 
         Args:
-            since: What the reader knows; below `oldest` it is told all.
+            since: Revision of the subscriber; the result lists all objects if it is
+                below `oldest_revision`.
         """
         if since and since >= self.revision:
             return b""
@@ -190,7 +195,7 @@
         return known
 
     def find_base(self, since: int) -> int:
-        """Return the revision that what is told leads on from; 0 for all there is."""
+        """Return the revision that an update starts from; 0 if it lists all objects."""
         return since if since >= self.oldest_revision else 0
 
     def _advance(self, revision: int) -> None:
@@ -204,8 +209,8 @@
             newer = stored.revision - known.revision
             if newer < 0 or (newer == 0 and not change.removed):
                 return False
-        gone = self._removed.get(stored.name)
-        if gone is not None and stored.revision <= gone[0]:
+        removal = self._removed.get(stored.name)
+        if removal is not None and stored.revision <= removal[0]:
             return False
         if change.removed:
             self._remove(stored, revision)
@@ -238,7 +243,7 @@
         return known is not None and known.revision >= change.stored.revision
 
     def _record_patch(self, known: StoredObject, stored: StoredObject) -> None:
-        """Keep the difference between two versions of a large object."""
+        """Keep the patch between two versions of a large object."""
         unreadable = isinstance(known.spec, Unreadable)
         if unreadable or isinstance(stored.spec, Unreadable) or _is_small(stored):
             self._patches.pop(stored.name, None)
@@ -254,7 +259,7 @@
         del kept[:-MAX_PATCHES]
 
     def _record_received_patches(self, item: ObjectUpdate) -> None:
-        """Pass on differences that another relay worked out."""
+        """Keep the patches that another relay has computed."""
         known = self._objects.get(item.name)
         if not self.keep_patches or known is None or known.revision != item.base:
             return
@@ -304,7 +309,7 @@
         return ObjectUpdate(stored.name, stored.revision, UpdateForm.LARGE)
 
     def _find_patches(self, name: str, since: int) -> list[_Patch]:
-        """Return the differences that lead on from what a reader has of an object."""
+        """Return the patches that apply to a subscriber's version of an object."""
         kept = self._patches.get(name, [])
         later = [patch for patch in kept if patch.revision > since]
         if later and later[0].base > since:
@@ -314,7 +319,7 @@
     def _decode_item(self, item: ObjectUpdate) -> Change:
         if item.form is UpdateForm.LARGE:
             raise OutOfStepError(
-                f"{item.name} is too large to be told", needs_fetch=True
+                f"{item.name} is too large for an update", needs_fetch=True
             )
         spec = item.value
         if item.form is UpdateForm.PATCHED:
@@ -329,7 +334,9 @@
         if known is not None and known.revision >= item.revision:
             return known.spec
         if known is None or known.revision != item.base:
-            raise OutOfStepError(f"another version of {item.name}", needs_fetch=True)
+            raise OutOfStepError(
+                f"patch applies to another version of {item.name}", needs_fetch=True
+            )
         try:
             spec = known.spec
             for _, patch in item.value:
@@ -340,7 +347,7 @@
 
 
 def encode_items(items: list[ObjectUpdate]) -> bytes:
-    """Return items as they are sent."""
+    """Return the items of an update, encoded for sending."""
     return orjson.dumps(
         [
             [item.name, item.revision, item.form.value, item.value, item.base]
@@ -350,10 +357,10 @@
 
 
 def decode_items(data: bytes) -> tuple[ObjectUpdate, ...]:
-    """Decode items.
+    """Decode the items of an update.
 
     Raises:
-        ValueError: If they aren't what `encode_items` gives.
+        ValueError: If the data isn't in the format of `encode_items`.
     """
     try:
         return tuple(
@@ -361,7 +368,7 @@
             for name, revision, form, value, base in orjson.loads(data or b"[]")
         )
     except (TypeError, ValueError) as error:
-        raise ValueError(f"no news: {error!r:.200}") from error
+        raise ValueError(f"malformed update: {error!r:.200}") from error
 
 
 def _is_small(stored: StoredObject) -> bool:
--- a/knapweedrail/relay/sources.py
+++ b/knapweedrail/relay/sources.py
@@ -1,12 +1,13 @@
-"""Decision: whose word spares a relay its own watches of the store.
+"""Selection of the relays whose updates replace a relay's own watches of the store.
 
 Pure: the clock is passed in.
 
-The load it is for: hundreds of relays that each watch the store for themselves, when
-most watches bring what all others bring as well. Here a few relays watch, chosen alike
-by all without a word, and tell the others. Each relay follows two of them, so that the
-end of one goes unnoticed; whoever is followed watches, and whoever hears nobody watches
-for itself.
+If each of hundreds of relays watched the store, most watches would return the same
+changes. Instead a few relays, the sources, watch the store and send updates to the
+others. All relays choose the same sources by a hash of the host names, without
+coordination. Each relay subscribes to two sources, so that the loss of one has no
+effect. A relay that has subscribers watches the store, and so does one whose sources
+don't answer.
 """
 
 from __future__ import annotations
@@ -19,22 +20,22 @@
 from .models import Member
 
 SOURCE_COUNT = 2
-"""Relays that each one follows."""
+"""Sources that each relay subscribes to."""
 
 MIN_LOCAL_RELAYS = 8
-"""Relays from which on a data centre has a watcher of its own. With fewer, two watchers
-for all data centres together take less."""
+"""Number of relays from which a data centre has a source of its own. Below it, two
+sources for all data centres together cause fewer store calls."""
 
 _HASH_KEY = "store-news"
 
 
 @attrs.frozen
 class NewsTiming:
-    """How often a relay asks its sources, and when it gives them up.
+    """How often a relay sends heartbeats to its sources, and when it drops a source.
 
     Attributes:
-        beat: Pause between readings that a source answers, seconds.
-        silence: Time after which a source that hasn't answered is given up, seconds.
+        heartbeat_interval: Pause between requests to a source, seconds.
+        timeout: Time without a reply after which a source is dropped, seconds.
     """
 
     heartbeat_interval: float
@@ -43,12 +44,13 @@
 
 @attrs.define
 class Source:
-    """A relay that is followed, as far as heard.
+    """State of a subscription to a source.
 
     Attributes:
-        heard_at: When it was last heard; seconds.
-        confirmed_at: By kind, a time before which all that the store acknowledged is
-            known here.
+        member: The relay that is the source.
+        last_reply_at: Time of its last reply, seconds.
+        confirmed_at: By kind, a time up to which all writes that the store
+            acknowledged are known here, seconds.
     """
 
     member: Member
@@ -56,30 +58,33 @@
     confirmed_at: dict[str, float] = attrs.field(factory=dict)
 
     def note_reply(self, now: float) -> None:
-        """Take in that it was heard."""
+        """Record a reply of the source."""
         self.last_reply_at = now
 
     def note_confirmed(self, kind: str, asked_at: float, age: float) -> None:
-        """Take in how old its own word of the store is.
+        """Record how old the source's own state of a kind is.
 
         Args:
-            asked_at: When the reading was taken that it answers, by this relay's clock:
-                an answer that was long on its way confirms nothing later.
+            kind: The kind of objects.
+            asked_at: When the request was made that the source answers, by this
+                relay's clock, so that a delayed reply confirms nothing later.
+            age: Time since the store last confirmed the source's state, seconds.
         """
         known = self.confirmed_at.get(kind, float("-inf"))
         self.confirmed_at[kind] = max(known, asked_at - age)
 
     def has_timed_out(self, now: float, timing: NewsTiming) -> bool:
-        """Return whether it is to be given up."""
+        """Return whether the source must be dropped."""
         return now - self.last_reply_at >= timing.timeout
 
     def measure_validity(
         self, kind: str, now: float, timing: NewsTiming, limit: float
     ) -> float:
-        """Return for how long its word will do, seconds.
+        """Return for how long its updates of a kind suffice, seconds.
 
         Args:
-            limit: Age up to which what is known of the kind counts, seconds.
+            limit: Age up to which the known state of the kind counts as current,
+                seconds.
         """
         confirmed_at = self.confirmed_at.get(kind)
         if confirmed_at is None:
@@ -89,7 +94,7 @@
 
 
 def rank_sources(members: Iterable[Member]) -> list[Member]:
-    """Return relays in the order in which they are chosen to watch."""
+    """Return the reachable relays in the order in which they are chosen as sources."""
     reachable = [member for member in members if member.address]
     return sorted(reachable, key=lambda member: hash_pair(_HASH_KEY, member.host))
 
@@ -97,22 +102,24 @@
 def plan_sources(
     members: Iterable[Member], own: Member
 ) -> tuple[list[Member], list[Member]]:
-    """Return the relays to follow, for each of two sources the best first.
+    """Return the candidates for each of the two sources of a relay, the best first.
 
-    A relay that comes first itself follows nobody there: it is the watcher. Both lists
-    may name the same relays; the second source is another one than the first.
+    A list ends before the relay itself: one that ranks first needs no source there, and
+    watches the store. Both lists may name the same relays; the caller chooses different
+    ones as first and second source.
 
     Args:
-        own: The relay that asks.
+        members: All relays.
+        own: The relay that looks for sources.
     """
     ranked = rank_sources(members)
     local = [member for member in ranked if member.data_centre == own.data_centre]
     if len(local) < MIN_LOCAL_RELAYS:
         return _plan_fleet(ranked, own)
-    following = _order_data_centres(ranked, own.data_centre)
+    data_centres = _order_data_centres(ranked, own.data_centre)
     elsewhere = [
         member
-        for data_centre in following
+        for data_centre in data_centres
         for member in ranked
         if member.data_centre == data_centre
     ]
@@ -122,15 +129,18 @@
 def _plan_fleet(ranked: list[Member], own: Member) -> tuple[list[Member], list[Member]]:
     if not ranked:
         return [], []
-    apart = [m for m in ranked if m.data_centre != ranked[0].data_centre]
-    second = apart or ranked[1:]
+    in_other_data_centres = [
+        m for m in ranked if m.data_centre != ranked[0].data_centre
+    ]
+    second = in_other_data_centres or ranked[1:]
     return _list_before(ranked, own), _list_before(second, own)
 
 
 def _order_data_centres(ranked: list[Member], own: str) -> list[str]:
-    """Return the other data centres, beginning with the one after the own.
+    """Return the other data centres, beginning with the one after the relay's own.
 
-    So each watcher has the second sources of one other data centre.
+    Each data centre then takes its second source from a different one, so that a source
+    serves the relays of only one other data centre.
     """
     names = sorted({member.data_centre for member in ranked})
     place = names.index(own)
--- a/knapweedrail/relay/stores.py
+++ b/knapweedrail/relay/stores.py
@@ -1,4 +1,4 @@
-"""The store that the relay keeps its state in, as an interface, and its outcomes."""
+"""Interface of the store that holds the relay's state, and outcomes of its calls."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 
 @attrs.frozen
 class Unreadable:
-    """Stands for what an object holds if its bytes can't be read."""
+    """Placeholder for the content of an object whose bytes can't be parsed."""
 
 
 @attrs.frozen
 class StoredObject:
-    """One object.
+    """One object of the store.
 
     Attributes:
-        revision: The store's revision of its last change.
-        spec: What it holds.
+        name: Unique among the objects of its kind.
+        revision: Revision of the store at the object's last change.
+        spec: Content of the object, or `Unreadable`.
     """
 
     name: str
@@ -35,7 +36,7 @@
     """A write took effect.
 
     Attributes:
-        revision: Of the object now.
+        revision: New revision of the object.
     """
 
     revision: int
@@ -43,10 +44,10 @@
 
 @dataclass(frozen=True)
 class Conflict:
-    """The condition didn't hold, and nothing was done.
+    """The condition of a write didn't hold, and nothing was written.
 
     Attributes:
-        stored: The object as it is.
+        stored: Present state of the object.
     """
 
     stored: StoredObject
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Missing:
-    """There is no such object."""
+    """The object doesn't exist."""
 
 
 @dataclass(frozen=True)
@@ -62,7 +63,8 @@
     """All objects of a kind.
 
     Attributes:
-        revision: The store's revision that the list tells of.
+        objects: The objects.
+        revision: Revision of the store that the list shows.
     """
 
     objects: tuple[StoredObject, ...]
@@ -79,10 +81,11 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """What changed in a kind.
+    """Changes of a kind.
 
     Attributes:
-        revision: Where the next watch goes on.
+        changes: The changes, oldest first.
+        revision: Revision from which the next watch continues.
     """
 
     changes: tuple[Change, ...]
@@ -91,7 +94,7 @@
 
 @dataclass(frozen=True)
 class HistoryGone:
-    """The store no longer knows what changed since; the kind must be listed again."""
+    """The store has compacted the changes since a revision; list the kind again."""
 
 
 WriteOutcome = Written | Conflict | Missing | Unavailable | Unknown
@@ -105,19 +108,28 @@
         """Return all objects of a kind.
 
         Args:
-            stale: Whether the list may be some seconds old; it is then cheaper.
+            kind: The kind of objects.
+            stale: Whether the list may be some seconds old, which is cheaper.
         """
 
     @abstractmethod
     async def watch_kind(
         self, kind: str, revision: int, seconds: float
     ) -> Changes | HistoryGone | Unavailable:
-        """Return what changed after a revision, waiting for a change if need be."""
+        """Return the changes after a revision, or wait for one.
+
+        Args:
+            kind: The kind of objects.
+            revision: Revision to start after.
+            seconds: Longest wait for a change.
+        """
 
     @abstractmethod
     async def peek(self, kind: str, name: str) -> StoredObject | Missing | Unavailable:
-        """Return an object as it was some seconds ago or later; cheaper than a write
-        that meets another's."""
+        """Return an object's state, which may be some seconds old.
+
+        This is cheaper than a write that conflicts with another one.
+        """
 
     @abstractmethod
     async def create(self, kind: str, name: str, spec: Any) -> WriteOutcome:
@@ -127,7 +139,7 @@
     async def replace(
         self, kind: str, name: str, spec: Any, revision: int
     ) -> WriteOutcome:
-        """Replace an object if its revision is still the one given."""
+        """Replace an object if it still has the given revision."""
 
     @abstractmethod
     async def delete(self, kind: str, name: str) -> WriteOutcome:
--- a/knapweedrail/relay/suspects.py
+++ b/knapweedrail/relay/suspects.py
@@ -1,4 +1,4 @@
-"""Decision: which requests are refused since they crash the runners that run them.
+"""Detection of requests that crash the runners that run them.
 
 Pure: the clock is passed in.
 """
@@ -12,12 +12,14 @@
 from ..quarantine import Quarantine
 
 CRASHES = 3
-"""Runners lost after which a request is refused. One crash meets every request that
-ran there; the same content on three lost runners is no chance."""
+"""Crashed runners after which a request is refused. One crash makes every request on
+the runner a suspect, but the same content on three crashed runners is no
+coincidence."""
 
 CRASH_CONFIRM_SECONDS = 3.0
-"""Time in which a runner must refuse a connection, or lose its entry, after it broke
-one off, to count as crashed. A runner that merely lost an answer takes the next one."""
+"""Time after a broken connection within which a runner must refuse a connection, or its
+entry must vanish, for the runner to count as crashed. A runner that only lost an answer
+accepts the next connection."""
 
 
 @attrs.frozen
@@ -27,7 +29,7 @@
 
 
 def make_fingerprint(account: str, method: str, target: bytes, body: bytes) -> str:
-    """Return what tells a request from others when its caller sends it again."""
+    """Return the same text for a request and its repetitions by the caller."""
     digest = blake2b(digest_size=10)
     for part in (account.encode(), method.encode(), target, body):
         digest.update(b"%d:" % len(part))
@@ -36,11 +38,11 @@
 
 
 class Suspects:
-    """Requests that were on runners as these crashed.
+    """Requests that were running on runners that crashed.
 
-    The load it is for: one request that crashes every runner that runs it, sent again
-    by its caller, at any relay, under a new identity each time. Unchecked it takes down
-    all runners one after another, with everybody's answers on them.
+    A request may crash every runner that runs it, while its caller sends it again to
+    any relay under a new identity each time. Without a limit, it would take down all
+    runners one after another, together with the answers to other callers on them.
     """
 
     def __init__(self) -> None:
@@ -52,17 +54,23 @@
         return self._quarantine.blocks(fingerprint, now)
 
     def note_break(self, runner: str, fingerprint: str, now: float) -> None:
-        """Note that a runner broke off a request that may have been running.
+        """Record that a runner closed the connection of a request that may have run.
 
         Args:
-            runner: The runner's life. Each one that is lost counts, and none is
-                blamed for what an earlier one broke off.
+            runner: The runner's incarnation. Each crashed incarnation counts, and is
+                only matched with requests that it broke itself.
+            fingerprint: Fingerprint of the request.
+            now: Time, seconds.
         """
         broken_requests = self._broken_requests.setdefault(runner, [])
         broken_requests.append(_BrokenRequest(fingerprint, now))
 
     def note_crash(self, runner: str, now: float) -> list[str]:
-        """Note that a runner seems to be gone; return what other relays should hear."""
+        """Record that a runner seems to have crashed.
+
+        Returns:
+            Lines to send to other relays.
+        """
         broken_requests = self._broken_requests.pop(runner, [])
         recent = {
             b.fingerprint for b in broken_requests if now - b.at < CRASH_CONFIRM_SECONDS
@@ -74,15 +82,15 @@
         return [line for line in records if line.partition("|")[0] in recent]
 
     def note_good(self, fingerprint: str, now: float) -> None:
-        """Note that a request has been answered well."""
+        """Record that a request was answered successfully."""
         self._quarantine.clear(fingerprint, now)
 
     def hear(self, lines: list[str], now: float) -> None:
-        """Take in what another relay told."""
+        """Merge the suspects that another relay sent."""
         self._quarantine.hear(lines, now)
 
     def prune(self, now: float) -> None:
-        """Forget breaks that no crash followed."""
+        """Drop broken requests that no crash followed in time."""
         for runner, broken_requests in list(self._broken_requests.items()):
             kept = [b for b in broken_requests if now - b.at < CRASH_CONFIRM_SECONDS]
             if kept:
--- a/knapweedrail/tests/test_relay_followers.py
+++ b/knapweedrail/tests/test_relay_followers.py
@@ -29,13 +29,13 @@
 pytestmark = pytest.mark.anyio
 
 BOUNDS = [(3000, 2000, 2000), (4000, 3000, 3000)]
-"""Milliseconds: from the end of a disturbance until bounds hold again, for a
-configuration to be in force, and for a leaving runner to get no more work."""
+"""Milliseconds: from the end of an outage until bounds hold again, until a
+configuration is in force, and until a leaving runner gets no more requests."""
 
 MISSED_VERSIONS = 20
 LARGE_ROUTES = 500
 CHUNK_SECONDS = 0.1
-"""Delay of 64 KiB, as over a link of 5 Mbit/s."""
+"""Delay of 64 KiB, as on a link of 5 Mbit/s."""
 
 
 def make_configuration(version, routes=0):
@@ -63,7 +63,7 @@
 
 
 class StoreFixture:
-    """A store behind a link, and a relay's followers of it."""
+    """A store behind a link, and a relay's watchers of it."""
 
     def __init__(self, objects, link, settings, client, configuration, runners):
         self.objects = objects
@@ -75,25 +75,25 @@
         self.version = 1
 
     async def drop_calls(self, seconds):
-        """Let the store take calls and answer none; those that wait are lost too."""
+        """Leave all calls to the store unanswered, including those already waiting."""
         self.objects.misbehaviour.silent = True
         self.objects.lose_waiting()
         await anyio.sleep(seconds)
         self.objects.misbehaviour.silent = False
 
     async def open_connections(self, count):
-        """Let the client keep idle connections, by calls at the same time."""
+        """Make the client keep idle connections, by concurrent calls."""
         async with anyio.create_task_group() as group:
             for _ in range(count):
                 group.start_soon(self.client.peek, "config", "main")
 
     def freeze_connections(self):
-        """Let all open connections go silent for good; new ones work."""
+        """Stop traffic on all open connections for good; new ones work."""
         for connection in self.link.connections:
             connection.frozen = True
 
     def write(self, routes=0):
-        """Put a newer configuration and a leaving runner."""
+        """Write a newer configuration and a leaving runner."""
         self.version += 1
         self.objects.put("config", "main", make_configuration(self.version, routes))
         self.objects.put("servers", "i-1", RUNNER | {"state": "draining"})
@@ -104,7 +104,7 @@
         return known is not None and known.version == self.version and not listed
 
     async def check_catches_up_in_time(self):
-        """Check that what was written is known when the bounds hold again."""
+        """Check that the writes are applied by the time when bounds hold again."""
         with anyio.fail_after(self.settings.contact_milliseconds / 1000):
             while not self.is_up_to_date():
                 await anyio.sleep(0.01)
@@ -132,19 +132,19 @@
         objects.put("config", "main", make_configuration(1))
         objects.put("servers", "i-1", RUNNER)
         client = PlatformStore(settings.store_address)
-        followers = make_followers(settings, client, MalformedObjects())
-        for follower in followers:
-            await follower.start(group)
+        watchers = make_followers(settings, client, MalformedObjects())
+        for watcher in watchers:
+            await watcher.start(group)
         await anyio.sleep(0.3)
-        yield StoreFixture(objects, link, settings, client, *followers)
+        yield StoreFixture(objects, link, settings, client, *watchers)
         group.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize("bounds", BOUNDS)
 @pytest.mark.parametrize("seconds", [0.1, 2.4, 5.2])
 async def test_watch_lost_in_outage_is_replaced_in_time(bounds, seconds):
-    """Guards against old configurations and runners after an outage of the store, as a
-    watch that began before or in it waits for an answer that never comes."""
+    """Guards against stale configurations and runners after an outage of the store: a
+    watch that started before or in the outage waits for an answer that never comes."""
     async with run_store_and_watchers(*bounds) as fixture:
         await fixture.drop_calls(seconds)
         fixture.write()
@@ -152,7 +152,7 @@
 
 
 async def test_repeated_outages_do_not_add_up_delays():
-    """Guards against pauses and waits that add up over outages in a row."""
+    """Guards against backoffs and timeouts that add up over consecutive outages."""
     async with run_store_and_watchers(*BOUNDS[0]) as fixture:
         for seconds in (1.0, 0.1, 2.0):
             await fixture.drop_calls(seconds)
@@ -162,7 +162,7 @@
 
 
 async def test_relay_skips_missed_versions_after_partition():
-    """Guards against hosts that fetch each version since a cut over a small link."""
+    """Guards against fetching each version since a partition over a slow link."""
     async with run_store_and_watchers(*BOUNDS[0]) as fixture:
         await fixture.link.set_fault(ANYONE, Fault(Mode.CUT))
         for _ in range(MISSED_VERSIONS):
@@ -173,7 +173,7 @@
 
 
 async def test_large_configuration_arrives_over_slow_link():
-    """Guards against answers that are given up each time before they have come."""
+    """Guards against a timeout that abandons a slow answer at each attempt."""
     async with run_store_and_watchers(*BOUNDS[0]) as fixture:
         await fixture.link.set_fault(ANYONE, Fault(delay=5 * CHUNK_SECONDS))
         fixture.write(4 * LARGE_ROUTES)
@@ -183,18 +183,18 @@
 
 
 async def test_newest_readable_version_is_used():
-    """Guards against a spoilt object that hides the version before it."""
+    """Guards against a malformed object that hides the version before it."""
     changes = []
-    follower = ConfigurationFollower(MemoryStore(), "c", 1.0, decode, "main")
-    for spec in (1, 2, "spoilt"):
+    watcher = ConfigurationFollower(MemoryStore(), "c", 1.0, decode, "main")
+    for spec in (1, 2, "malformed"):
         changes.append(Change(StoredObject("main", len(changes) + 5, spec), False))
-    for change in follower.sort_changes(tuple(changes)):
-        follower.set(change.stored)
-    assert follower.configuration.version == 2
+    for change in watcher.sort_changes(tuple(changes)):
+        watcher.set(change.stored)
+    assert watcher.configuration.version == 2
 
 
 async def test_unresponsive_connections_are_replaced_in_time():
-    """Guards against the next call waiting on another connection that is silent too."""
+    """Guards against a next call on another connection that doesn't respond either."""
     async with run_store_and_watchers(*BOUNDS[0]) as fixture:
         await fixture.open_connections(6)
         fixture.freeze_connections()
@@ -203,7 +203,7 @@
 
 
 async def test_limits_apply_together_with_their_configuration():
-    """Guards against callers cut off by the limits of an older configuration."""
+    """Guards against disconnecting callers by the limits of an older configuration."""
     async with run_store_and_watchers(*BOUNDS[0]) as fixture:
         listener = socket.create_server(("127.0.0.1", 0))
         relay = make_relay(fixture.settings, listener, lambda: 0)
@@ -220,14 +220,14 @@
 
 
 async def wait_for(condition):
-    """Wait, and look at every turn of the event loop."""
+    """Wait until a condition holds; check it in each iteration of the event loop."""
     with anyio.fail_after(5):
         while not condition():
             await anyio.sleep(0)
 
 
 async def test_call_in_flight_survives_client_replacement():
-    """Guards against writes whose answers are dropped as another call is overdue."""
+    """Guards against dropping the answers of writes when another call times out."""
     async with run_store_and_watchers(*BOUNDS[0]) as fixture:
         outcomes = []
 
@@ -248,7 +248,7 @@
     contact=strategies.integers(1800, 60_000), leaving=strategies.integers(500, 60_000)
 )
 def test_sum_of_delays_stays_within_bounds(contact, leaving):
-    """Guards against waits that are each short enough and together too long."""
+    """Guards against delays that are each short enough but too long in sum."""
     settings = RelaySettings(
         host="h",
         data_centre="dc",
@@ -266,8 +266,8 @@
 
 
 async def test_one_probe_detects_store_recovery_for_all_waiting_calls():
-    """Guards against calls that wait for an answer lost while the store was away, and
-    against each follower asking for itself when it is back."""
+    """Guards against calls that wait for an answer lost in an outage of the store, and
+    against a probe by each watcher when the store recovers."""
     store = MemoryStore()
     store.away = True
     reach = StoreReach(store, "k", "n")
@@ -291,7 +291,7 @@
 
 
 async def test_probes_back_off_while_store_rejects_other_calls():
-    """Guards against a loop where cheap reads are answered and others are rejected."""
+    """Guards against a busy loop when stale reads succeed and other calls fail."""
     store = MemoryStore()
     reach = StoreReach(store, "k", "n")
     began_at = time.monotonic()
--- a/knapweedrail/tests/test_relay_foreign.py
+++ b/knapweedrail/tests/test_relay_foreign.py
@@ -1,4 +1,4 @@
-"""Entries in the store that another writer wrote, or that can't be read."""
+"""Entries of the store that a foreign writer wrote, or that can't be parsed."""
 
 import math
 
@@ -66,7 +66,7 @@
 
 @pytest.fixture(autouse=True)
 def lines(monkeypatch):
-    """Fields of the log lines on malformed objects."""
+    """Return the fields of the log lines on malformed objects."""
     logged = []
     monkeypatch.setattr(
         malformed,
@@ -79,7 +79,7 @@
 
 
 def is_valid(spec):
-    # Truth values are equal to numbers, but written otherwise.
+    # Booleans are equal to numbers, but have another representation.
     return repr(spec) == repr(make_entry(OLD))
 
 
@@ -89,8 +89,8 @@
 
 @pytest.mark.parametrize("bad", BAD_FIELDS)
 async def test_entry_with_invalid_field_is_ignored(bad):
-    """Another program writes to the runners' kind. Taken at its word, its entry draws
-    requests to an address where nobody serves them."""
+    """Guards against an entry of another program in the runners' kind that attracts
+    requests to an address where no runner serves them."""
     listed = Listed()
     listed.list(**{"i-0": make_entry(OLD), "i-1": make_entry(OLD) | bad})
     assert list_names(listed) == ["i-0"]
@@ -107,16 +107,16 @@
 
 @pytest.mark.parametrize("name", ["", "a b", "a,b", "a|b", "a\r\nx: y", "é", "x" * 300])
 async def test_entry_whose_name_is_no_valid_header_value_is_ignored(name):
-    """The name is sent to the runner in a header. One with a line's end in it would
-    fail every request that is meant for it, or smuggle another header in."""
+    """The name is sent to the runner in a header. A line break in it would fail every
+    request to the runner, or inject another header."""
     listed = Listed()
     listed.list(**{name: make_entry(OLD), "i-0": make_entry(OLD)})
     assert list_names(listed) == ["i-0"]
 
 
 async def test_runners_of_unconfigured_service_are_kept():
-    """Runners of a new service start before the operator adds it. Their entries don't
-    change any more once it does."""
+    """Runners of a new service may start before the operator configures it. Their
+    entries don't change when the service is added."""
     listed = Listed()
     listed.write("i-0", OLD, service="later")
     assert list_names(listed, "e") == []
@@ -180,9 +180,9 @@
 
 
 async def test_runner_state_survives_temporarily_malformed_entry():
-    """Another writer spoils a runner's entry while requests are under way there, and
-    the runner writes it anew a heartbeat later. It is the same life: what is known of
-    its load still holds, and what ends meanwhile must be counted off."""
+    """Another writer overwrites a runner's entry while requests are in flight there,
+    and the runner restores it at its next heartbeat. It is the same incarnation: its
+    known load still holds, and requests that end meanwhile must be subtracted."""
     listed = Listed()
     listed.write("i-0", OLD)
     listed.write("i-1", OLD)
@@ -197,12 +197,12 @@
 
 
 async def test_runners_with_malformed_entries_are_a_last_resort():
-    """One program overwrites all entries at once. The runners are well and write them
-    anew within a heartbeat; refusing everybody until then would be an outage."""
+    """A program overwrites all entries at once. The runners are healthy and restore
+    them within a heartbeat; refusing all requests until then would be an outage."""
     listed = Listed()
     specs = {f"i-{number}": make_entry(OLD) for number in range(3)}
     listed.list(**specs)
-    listed.list(**dict.fromkeys(specs, "spoilt"))
+    listed.list(**dict.fromkeys(specs, "malformed"))
     gone_at = listed.table._views["i-0"].gone_at
     assert len(list_names(listed, now=gone_at + 1.0)) == 3
     assert list_names(listed, now=gone_at + 2.0) == []
@@ -210,7 +210,7 @@
 
 async def test_answer_in_flight_is_delivered_when_entry_turns_malformed():
     async def respond(stream, head):
-        listed.follower.set(listed._store("i-0", "spoilt"))
+        listed.follower.set(listed._store("i-0", "malformed"))
         return await answer_well(stream, head)
 
     runner = ScriptedRunner(respond)
@@ -221,8 +221,8 @@
 
 
 async def test_malformed_entry_is_logged_and_counted_once_per_change(lines):
-    """A list is read again whenever the store drops its history. With a line for each
-    bad entry each time, the lines that are left out are those on requests."""
+    """The list is read again whenever the store compacts its history. If each bad entry
+    were logged each time, the lines on requests would be dropped."""
     counted = []
     listed = Listed()
     listed.follower = RunnerFollower(
@@ -277,9 +277,9 @@
 
 @pytest.mark.parametrize("spec", UNREADABLE)
 def test_unparsable_object_does_not_affect_others_on_the_page(spec):
-    """One entry holds bytes that no parser takes. Rejected whole, the page would make
-    the store count as away, and every relay would go on with the runners that it
-    happened to know."""
+    """Guards against rejecting a whole page for one entry that no parser accepts. The
+    store would count as unavailable, and every relay would keep the runners that it
+    knew before."""
     items = [
         make_object(b"a", VALID_SPEC),
         make_object(b"b", spec),
@@ -332,9 +332,9 @@
 async def test_entry_without_start_time_is_used_only_where_most_lack_it(
     with_start, without_start, used
 ):
-    """Another writer puts an entry among the runners' own that lacks only their start.
-    Its address would get requests that no runner serves. Where runners don't tell their
-    start at all, one entry that does must not make strangers of them."""
+    """A foreign entry that only lacks a start time would attract requests that no
+    runner serves. But where most runners give no start time, one entry with a start
+    time must not exclude the others."""
     listed = Listed()
     started = {f"t{number}": OLD for number in range(with_start)}
     without_born = [f"s{number}" for number in range(without_start)]
@@ -348,11 +348,11 @@
 
 
 async def test_watcher_continues_among_foreign_entries():
-    """Fifty entries, one of them foreign, then all of them, then none, as one list and
-    as a watch that goes on."""
+    """One of fifty entries is foreign, then all are, then none is, first in a list and
+    then in a continued watch."""
     async with run_store() as (objects, client):
         listed = Listed()
-        follower = RunnerFollower(client, "servers", 0.2, decode_runner, listed.table)
+        watcher = RunnerFollower(client, "servers", 0.2, decode_runner, listed.table)
         names = [f"i-{number}" for number in range(50)]
         for name in names:
             objects.put("servers", name, make_entry(OLD))
@@ -362,7 +362,7 @@
             return len(listed.find(now=math.inf))
 
         async with anyio.create_task_group() as group:
-            await follower.start(group)
+            await watcher.start(group)
             await wait_until(lambda: count() == 49)
             for name in names:
                 objects.put("servers", name, {"state": "ready"})
@@ -370,4 +370,4 @@
             for name in names:
                 objects.put("servers", name, make_entry(OLD))
             await wait_until(lambda: count() == 50)
-            await follower.close()
+            await watcher.close()
--- a/knapweedrail/tests/test_relay_neighbours.py
+++ b/knapweedrail/tests/test_relay_neighbours.py
@@ -1,4 +1,4 @@
-"""Calls from relay to relay, when the other one breaks them off."""
+"""Calls between relays that fail."""
 
 import socket
 import time
@@ -14,22 +14,22 @@
 pytestmark = pytest.mark.anyio
 
 RECOVERY_SECONDS = 12.0
-"""Time after a loss of hosts in which callers must be served again."""
+"""Time after a loss of hosts within which callers must be served again."""
 
 
 async def abort_connection(stream):
-    """Take part of a call, and end the connection as a killed process does."""
+    """Receive a part of a call, then close the connection as a killed process does."""
     await stream.receive()
     await anyio.sleep(0.05)
     await anyio.aclose_forcefully(stream)
 
 
 async def test_broken_call_does_not_leave_its_task_cancelled():
-    """A request asks another relay for tokens, and that one is killed just then. The
-    RPC library cancels the task that waits for the answer, and the task stays marked
-    as cancelled: whatever bounded it from outside then ended with a cancellation
-    instead of going on. Hundreds of requests of a day ended that way, after their
-    answer; before it, a caller would find its connection closed."""
+    """A request borrows tokens from another relay, and that relay is killed meanwhile.
+    The RPC library cancels the task that waits for the answer, and the task stays
+    marked as cancelled. An enclosing cancel scope then ended with a cancellation
+    instead of continuing. Hundreds of requests a day ended that way after their answer;
+    before the answer, the caller's connection would be closed."""
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
     member = Member("h", "h/1", f"127.0.0.1:{port}", "dc")
@@ -58,7 +58,7 @@
 
 
 async def make_failed_calls():
-    """Return calls to a relay that doesn't answer, after many of them."""
+    """Return a client after many failed calls to a relay, and that relay."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     member = Member("h", "h/1", f"127.0.0.1:{port}", "dc")
@@ -71,15 +71,15 @@
 
 
 async def test_backoff_ends_when_the_relay_restarts():
-    """Guards against tokens out of reach for half a minute after a host is back."""
+    """Guards against lenders kept in backoff for half a minute after a restart."""
     neighbours, ended = await make_failed_calls()
     restarted = attrs.evolve(ended, holder="h/2")
     assert not neighbours.is_avoided(restarted, time.monotonic())
 
 
 async def test_backoff_ends_within_recovery_time():
-    """Guards against lenders who stay avoided for longer than a fleet may take to serve
-    again, though they have called meanwhile."""
+    """Guards against lenders that stay in backoff for longer than a fleet may take to
+    recover, even though they have called meanwhile."""
     neighbours, member = await make_failed_calls()
     now = time.monotonic()
     assert not neighbours.is_avoided(member, now + RECOVERY_SECONDS)
--- a/knapweedrail/tests/test_relay_news.py
+++ b/knapweedrail/tests/test_relay_news.py
@@ -1,4 +1,4 @@
-"""How old what relays believe of the store can get, in virtual time."""
+"""Age of the relays' state of the store under faults, in virtual time."""
 
 import anyio
 import pytest
@@ -11,8 +11,8 @@
 from ..standins.newsfleet import NewsFleet
 
 BOUNDS = {"base": (3000, 2000, 2000), "large": (5000, 4000, 4000)}
-"""Milliseconds: until bounds hold again after a disturbance, for a configuration to be
-in force, for a leaving runner to get no more work."""
+"""Milliseconds: from the end of a fault until bounds hold again, until a configuration
+is in force, and until a leaving runner gets no more requests."""
 
 START_SECONDS = 12.0
 
@@ -30,7 +30,7 @@
 
 
 def run_scenario(sizes, scenario, bounds=BOUNDS["base"]):
-    """Play a scenario with a fleet; return the fleet."""
+    """Run a scenario with a simulated fleet; return the fleet."""
 
     async def run(clock):
         async with anyio.create_task_group() as group:
@@ -53,7 +53,7 @@
 
 
 def check(fleet):
-    """Check that each relay in touch knew in time what the store acknowledged."""
+    """Check that each connected relay applied acknowledged writes in time."""
     bound = fleet.settings.configuration_milliseconds / 1000
     assert fleet.worst_age <= bound
     assert not fleet.regressed
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("sizes", [[2, 2, 2], [9, 9, 9]])
 def test_idle_store_load_is_limited_to_sources(sizes):
-    """Guards against a price that grows with each host."""
+    """Guards against a load on the store that grows with each host."""
 
     async def scenario(fleet):
         before = fleet.store.price
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("fault", ["kill", "lose_power", "pause"])
 @pytest.mark.parametrize("count", [1, 2])
 def test_loss_of_sources_delays_no_update_beyond_bounds(bounds, fault, count):
-    """Guards against relays that wait for a watcher that is dead or stands still."""
+    """Guards against relays that wait for a source that is dead or paused."""
 
     async def scenario(fleet):
         for _ in range(4):
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize("bounds", BOUNDS.values(), ids=BOUNDS)
 @pytest.mark.parametrize("sizes", [[2, 2, 2], [9, 9, 9]])
 def test_sources_without_store_delay_no_update_beyond_bounds(bounds, sizes):
-    """Guards against relays that rely on one that hears nothing itself."""
+    """Guards against relays that rely on a source without updates of its own."""
 
     async def scenario(fleet):
         for _ in range(3):
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("sizes", [[2, 2, 2], [9, 9, 9]])
 def test_partitioned_data_centre_stays_up_to_date(sizes):
-    """Guards against relays that wait for a source they can't hear any more."""
+    """Guards against relays that wait for a source that they can't reach any more."""
 
     async def scenario(fleet):
         here = {host for host, place in fleet.hosts.items() if place == "dc1"}
@@ -133,7 +133,7 @@
 
 
 def test_isolated_relays_watch_the_store_themselves():
-    """Guards against relays that depend on each other when only the store is there."""
+    """Guards against relays that need each other though they reach only the store."""
 
     async def scenario(fleet):
         fleet.part(set(fleet.hosts), set(fleet.hosts))
@@ -145,7 +145,7 @@
 
 
 def test_changes_around_store_outages_arrive_in_time():
-    """Guards against old configurations after an outage of the store."""
+    """Guards against stale configurations after an outage of the store."""
 
     async def scenario(fleet):
         for seconds in (0.4, 2.3, 5.1):
@@ -159,7 +159,7 @@
 
 
 def test_compacted_history_loses_no_change():
-    """Guards against changes that are lost as the store forgets what it had told."""
+    """Guards against changes that are lost when the store compacts its history."""
 
     async def scenario(fleet):
         for _ in range(6):
@@ -172,7 +172,7 @@
 
 
 def test_relays_reconnect_after_loss_of_all_hosts():
-    """Guards against a fleet whose relays all watch for themselves after a loss."""
+    """Guards against a fleet whose relays all watch the store after a power loss."""
 
     async def scenario(fleet):
         for host in fleet.hosts:
@@ -190,7 +190,7 @@
 
 
 def test_large_configurations_are_read_from_the_store():
-    """Guards against small links that are full while relays tell each other."""
+    """Guards against updates between relays that fill slow links."""
 
     async def scenario(fleet):
         fleet.store.calls.clear()
@@ -202,7 +202,7 @@
 
 
 def test_frequent_small_changes_cause_no_store_calls_of_most_relays():
-    """Guards against a call of each relay for each version."""
+    """Guards against a store call of each relay for each version."""
 
     async def scenario(fleet):
         fleet.store.calls.clear()
@@ -279,7 +279,7 @@
 )
 @given(st.sampled_from([[2, 2, 2], [3, 3, 3], [9, 2]]), FAULTS)
 def test_combined_faults_delay_no_update_beyond_bounds(sizes, faults):
-    """Guards against faults that meet, of which each by itself is borne."""
+    """Guards against combinations of faults that are each tolerated alone."""
 
     async def scenario(fleet):
         await run_faults(fleet, faults)
@@ -291,7 +291,7 @@
 
 
 def test_check_detects_a_source_that_drops_changes(monkeypatch):
-    """Guards against a check that wouldn't notice what relays are never told."""
+    """Guards against a check that wouldn't notice changes that are never sent."""
     monkeypatch.setattr(Replica, "encode_changes", lambda self, since: b"")
 
     async def scenario(fleet):
@@ -302,7 +302,7 @@
 
 
 def test_check_detects_watches_longer_than_their_bound(monkeypatch):
-    """Guards against a check that wouldn't notice waits that add up."""
+    """Guards against a check that wouldn't notice delays that add up."""
     longer = property(lambda settings: 9.0)
     monkeypatch.setattr(RelaySettings, "configuration_watch_seconds", longer)
     monkeypatch.setattr(RelaySettings, "runner_watch_seconds", longer)
--- a/knapweedrail/tests/test_relay_patches.py
+++ b/knapweedrail/tests/test_relay_patches.py
@@ -1,4 +1,4 @@
-"""Differences between two JSON values."""
+"""Patches between two JSON values."""
 
 import pytest
 from hypothesis import given
@@ -19,19 +19,19 @@
 
 @given(VALUES, VALUES)
 def test_patch_yields_new_value_and_keeps_old_one(old, new):
-    """Guards against a configuration at some relays that nobody wrote."""
+    """Guards against a configuration at some relays that was never written."""
     before = repr(old)
     assert is_same(apply_patch(old, make_patch(old, new)), new)
     assert repr(old) == before
 
 
 def test_booleans_differ_from_numbers():
-    """Guards against a field that changes its type unnoticed."""
+    """Guards against a change of a field's type that isn't detected."""
     assert apply_patch({"a": 1}, make_patch({"a": 1}, {"a": True}))["a"] is True
 
 
 def test_patch_of_one_route_among_many_is_small():
-    """Guards against whole configurations over small links."""
+    """Guards against sending whole configurations over slow links."""
     routes = [{"name": f"r-{n}", "padding": "x" * 100} for n in range(1000)]
     changed = [*routes[:500], {"name": "new"}, *routes[500:]]
     assert len(repr(make_patch({"routes": routes}, {"routes": changed}))) < 200
@@ -43,6 +43,6 @@
     "patch", [["fields", {"a": ["items", {"0": ["value", 1]}]}, []], ["what"], "x", []]
 )
 def test_patch_of_another_value_is_rejected(patch):
-    """Guards against half of a difference that is taken in."""
+    """Guards against applying a part of a patch."""
     with pytest.raises(ValueError):
         apply_patch({"b": []}, patch)
--- a/knapweedrail/tests/test_relay_replicas.py
+++ b/knapweedrail/tests/test_relay_replicas.py
@@ -1,4 +1,4 @@
-"""What relays tell each other of the store's objects, in any order."""
+"""Updates between replicas of the store's objects, in any order."""
 
 import attrs
 import pytest
@@ -14,7 +14,7 @@
 
 
 class History:
-    """A kind of a store's objects, at each of its revisions."""
+    """Objects of one kind in a store, at each revision."""
 
     def __init__(self):
         self.revision = 1
@@ -51,7 +51,7 @@
 
 
 def send_updates(source, subscriber):
-    """Tell a subscriber all that it lacks."""
+    """Send a subscriber all changes that it lacks."""
     since = subscriber.revision
     subscriber.merge_update(
         News(
@@ -65,7 +65,9 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["write", "large", "remove", "pass", "list", "watch", "tell"]),
+        st.sampled_from(
+            ["write", "large", "remove", "pass", "list", "watch", "update"]
+        ),
         st.integers(0, 2),
         st.integers(0, 2),
         st.integers(0, 30),
@@ -75,7 +77,7 @@
 
 
 def run_steps(steps):
-    """Let three relays hear of a history in some order; check each at every step."""
+    """Update three replicas from a history in some order; check each at every step."""
     history = History()
     relays = [Replica("k", keep_patches=n != 1) for n in range(3)]
     for step, one, other, offset in steps:
@@ -91,11 +93,11 @@
             case "list":
                 relay.apply_list(tuple(history.states[at].values()), at)
             case "watch" if relay.revision:
-                # Its answer may come after others encoded of more.
+                # Its answer may arrive after newer updates of other relays.
                 since = min(relay.revision, at)
                 until = max(since, history.revision - other)
                 relay.apply_changes(history.list_changes(since, until), until)
-            case "tell" if one != other:
+            case "update" if one != other:
                 try:
                     send_updates(relays[other], relay)
                 except OutOfStepError as error:
@@ -112,7 +114,7 @@
 
 
 def test_check_detects_a_dropped_change(monkeypatch):
-    """Guards against a check that wouldn't notice a watcher that loses an event."""
+    """Guards against a check that wouldn't notice a source that loses a change."""
     encode_changes = Replica.encode_changes
 
     def drop(self, since):
@@ -122,11 +124,11 @@
     monkeypatch.setattr(Replica, "encode_changes", drop)
     steps = [("write", 0, 0, 1), ("write", 0, 1, 2), ("list", 0, 0, 0)]
     with pytest.raises(AssertionError):
-        run_steps([*steps, ("tell", 1, 0, 0)])
+        run_steps([*steps, ("update", 1, 0, 0)])
 
 
 def make_pair(size):
-    """Return a source with a large object, and a subscriber that has it."""
+    """Return a source and a subscriber that have the same large object."""
     source, subscriber = Replica("k", keep_patches=True), Replica("k")
     first = StoredObject("a", 5, {"list": ["x" * 40] * size})
     for replica in (source, subscriber):
@@ -139,7 +141,7 @@
 
 
 def test_large_object_is_sent_as_patch():
-    """Guards against whole configurations to each relay over a small link."""
+    """Guards against sending whole configurations to each relay over a slow link."""
     source, subscriber = make_pair(1000)
     for revision in (7, 9):
         change(source, {"list": ["x" * 40] * 1000, "version": revision}, revision)
@@ -150,7 +152,7 @@
 
 
 def test_oversized_change_must_be_fetched_from_the_store():
-    """Guards against a link that is full for seconds as many relays are encoded."""
+    """Guards against updates of many relays that fill a link for seconds."""
     source, subscriber = make_pair(10)
     change(source, {"list": ["y" * 40] * 2000}, 7)
     assert decode_items(source.encode_changes(5))[0].form is UpdateForm.LARGE
@@ -161,7 +163,7 @@
 
 
 def test_patch_of_another_version_is_rejected():
-    """Guards against a configuration that is made of two."""
+    """Guards against a configuration that mixes two versions."""
     source, subscriber = make_pair(1000)
     change(source, {"list": ["x" * 40] * 1000, "version": 7}, 7)
     items = decode_items(source.encode_changes(5))
@@ -173,7 +175,7 @@
 
 
 def test_update_with_a_gap_is_rejected():
-    """Guards against changes between two pieces of news that nobody misses."""
+    """Guards against an unnoticed loss of changes between two updates."""
     subscriber = Replica("k")
     subscriber.apply_list((), 5)
     with pytest.raises(OutOfStepError) as caught:
@@ -182,7 +184,7 @@
 
 
 def test_unreadable_object_is_sent_as_unreadable():
-    """Guards against each relay of a fleet that reads a spoilt object for itself."""
+    """Guards against each relay of a fleet reading a malformed object itself."""
     source, subscriber = Replica("k", keep_patches=True), Replica("k")
     source.apply_list((StoredObject("a", 3, Unreadable()),), 3)
     send_updates(source, subscriber)
@@ -190,7 +192,7 @@
 
 
 def test_stale_list_reverts_nothing():
-    """Guards against a leaving runner that gets work again by a stale list."""
+    """Guards against a leaving runner that gets requests again after a stale list."""
     replica = Replica("k")
     assert replica.apply_list((StoredObject("a", 5, 1),), 5)
     assert not replica.apply_list((StoredObject("a", 3, 0),), 4)
--- a/knapweedrail/tests/test_relay_sources.py
+++ b/knapweedrail/tests/test_relay_sources.py
@@ -1,4 +1,4 @@
-"""Which relays watch the store for the others."""
+"""Selection of the relays that watch the store for the others."""
 
 import pytest
 from hypothesis import given
@@ -27,14 +27,14 @@
 
 
 def find_sources(fleet):
-    """Return the relays that are followed when all answer."""
-    followed = set()
+    """Return the hosts that are sources when all relays answer."""
+    chosen_hosts = set()
     for member in fleet:
         first, second = plan_sources(fleet, member)
         chosen = [first[0].host] if first else []
         chosen += [m.host for m in second if m.host not in chosen][:1]
-        followed.update(chosen)
-    return followed
+        chosen_hosts.update(chosen)
+    return chosen_hosts
 
 
 @pytest.mark.parametrize(
@@ -51,13 +51,13 @@
     ],
 )
 def test_few_relays_are_sources(sizes, source_count):
-    """Guards against a call of each relay of a fleet for each change."""
+    """Guards against a store call of each relay for each change."""
     assert len(find_sources(make_fleet(*sizes))) == source_count
 
 
 @given(st.lists(st.integers(1, 12), min_size=1, max_size=4), st.randoms())
 def test_plan_is_independent_of_member_order(sizes, rng):
-    """Guards against relays that all watch, as each chooses by its own order."""
+    """Guards against relays that all watch, as each ranks the sources differently."""
     fleet = make_fleet(*sizes)
     shuffled = rng.sample(fleet, len(fleet))
     for member in fleet:
@@ -67,7 +67,7 @@
 
 
 def test_large_data_centre_has_a_local_source():
-    """Guards against news that all have to come from another data centre."""
+    """Guards against data centres that depend on others for all updates."""
     fleet = make_fleet(MIN_LOCAL_RELAYS, MIN_LOCAL_RELAYS)
     for member in fleet:
         first, second = plan_sources(fleet, member)
@@ -76,7 +76,7 @@
 
 
 def test_each_source_serves_one_other_data_centre():
-    """Guards against one small host that tells all relays of a fleet."""
+    """Guards against a single host that serves all relays of a fleet."""
     fleet = make_fleet(10, 10, 10)
     seconds = {}
     for member in fleet:
@@ -87,12 +87,12 @@
 
 
 def test_relays_without_address_are_no_sources():
-    """Guards against a source that nobody can reach."""
+    """Guards against a source that can't be reached."""
     assert rank_sources([Member("h", "h/1", "", "dc")]) == []
 
 
 def test_delayed_reply_does_not_extend_validity():
-    """Guards against old news that count as new at a host that stood still."""
+    """Guards against old updates that count as new on a host that was paused."""
     source = Source(make_fleet(1)[0], last_reply_at=100.0)
     source.note_confirmed("k", asked_at=90.0, age=3.0)
     source.note_reply(100.0)
@@ -102,7 +102,7 @@
 
 
 def test_source_that_timed_out_is_not_valid():
-    """Guards against a watcher that stands still and is trusted on."""
+    """Guards against relying on a source that is paused."""
     source = Source(make_fleet(1)[0], last_reply_at=100.0)
     source.note_confirmed("k", asked_at=100.0, age=0.0)
     assert not source.has_timed_out(101.9, TIMING)
--- a/knapweedrail/tests/test_relay_suspects.py
+++ b/knapweedrail/tests/test_relay_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that crash the runners that run them."""
+"""Detection of requests that crash the runners that run them."""
 
 import types
 
@@ -17,8 +17,8 @@
 
 
 def test_request_that_crashes_runners_is_refused_at_all_relays():
-    """A caller sends the same request again and again, each time to another relay, and
-    each time a runner dies with everybody's work on it."""
+    """Guards against a caller that sends the same request to one relay after another
+    and crashes a runner each time, together with the work of others on it."""
     relays = [Suspects() for _ in range(3)]
     for number in range(CRASHES):
         lines = crash(relays[number], f"i-{number}", ["bad", f"other-{number}"], number)
@@ -40,8 +40,8 @@
 
 
 def test_lost_answer_is_not_a_crash():
-    """A runner resets a connection in twenty, and goes on. A status that many callers
-    read would be refused after three such answers."""
+    """A runner may reset one connection in twenty without a crash. If that counted, a
+    status request of many callers would be refused after three resets."""
     suspects = Suspects()
     for number in range(10):
         suspects.note_break("i-0", "status", number * 4.0)
@@ -73,17 +73,17 @@
 
 @pytest.mark.anyio
 async def test_suspects_of_one_crash_are_sent_together_and_soon():
-    """A runner crashes and all its requests end at once, each with word of its own.
-    The others hear of them by one call, soon enough not to run them too."""
+    """When a runner crashes, all its requests fail at once and each one is reported.
+    The other relays must get them in one call, soon enough not to run them too."""
     relay = Relay.__new__(Relay)
     relay._told, relay._told_more, relay._limits = [], Signal(), {}
     relay._membership = types.SimpleNamespace(list_others=lambda: ["other"])
     sent = []
 
-    async def tell(members, lines):
+    async def send(members, lines):
         sent.append(lines)
 
-    relay._neighbours = types.SimpleNamespace(tell_suspects=tell)
+    relay._neighbours = types.SimpleNamespace(tell_suspects=send)
     async with anyio.create_task_group() as group:
         group.start_soon(relay._tell_waiting)
         for crash in (["a", "b"], ["c", "d"]):
