--- a/knapweedrail/relay/followers.py
+++ b/knapweedrail/relay/followers.py
@@ -104,7 +104,7 @@
         if confirmed_at > self.confirmed_at and not self.fetching:
             self._list_next = False
             self.confirmed_at = confirmed_at
-            self.note_confirmed(time.monotonic())
+            self.record_confirmation(time.monotonic())
 
     async def _load_stale_list(self) -> None:
         """Start with a list that may be seconds old and costs a tenth of a call."""
@@ -151,7 +151,7 @@
     ) -> None:
         match outcome:
             case Unavailable():
-                self._note_availability(False, outcome.detail, waited)
+                self._record_availability(False, outcome.detail, waited)
                 self._list_next = self._list_next or self.relists_after_outage
                 await self._reach.wait_until_available(waited)
                 self.supply.note_back()
@@ -166,14 +166,14 @@
                 self._apply_changes(
                     self.replica.apply_changes(outcome.changes, outcome.revision)
                 )
-        self._note_availability(True, "", waited)
+        self._record_availability(True, "", waited)
         self._reach.reset_backoff()
         self.confirmed_at = time.monotonic()
-        self.note_confirmed(self.confirmed_at)
+        self.record_confirmation(self.confirmed_at)
         if isinstance(outcome, Changes) and outcome.changes:
             await anyio.sleep(self._batch_seconds)
 
-    def _note_availability(self, available: bool, detail: str, waited: float) -> None:
+    def _record_availability(self, available: bool, detail: str, waited: float) -> None:
         if available != self._store_available:
             unheard = time.monotonic() - self.confirmed_at
             log_event(
@@ -185,14 +185,14 @@
             )
         self._store_available = available
 
-    def note_confirmed(self, now: float) -> None:
+    def record_confirmation(self, now: float) -> None:
         """Record that the known state was confirmed as current.
 
         Args:
             now: Time of the confirmation, monotonic seconds.
         """
 
-    def note_malformed(self, stored: StoredObject, error: ValueError) -> None:
+    def record_malformed(self, stored: StoredObject, error: ValueError) -> None:
         """Record that an object can't be decoded."""
         self._malformed.note(
             self._kind, stored.name, stored.revision, str(error), time.monotonic()
@@ -286,7 +286,7 @@
         try:
             found = self._decode(stored.spec)
         except ValueError as error:
-            self.note_malformed(stored, error)
+            self.record_malformed(stored, error)
             return
         known = self.configuration
         if known is not None and found.version <= known.version:
@@ -371,7 +371,7 @@
             revision=stored.revision,
         )
 
-    def note_confirmed(self, now: float) -> None:
+    def record_confirmation(self, now: float) -> None:
         self.table.note_list(now)
 
     def remove(self, stored: StoredObject) -> None:
@@ -384,7 +384,7 @@
         if runner is None:
             return False
         if not self._start_reports.admits(runner.started):
-            self.note_malformed(
+            self.record_malformed(
                 stored, ValueError("start time is missing, which other entries have")
             )
             return False
@@ -402,7 +402,7 @@
             runner = self._decode_runner(stored.name, stored.spec)
         except ValueError as error:
             self._start_reports.forget(stored.name)
-            self.note_malformed(stored, error)
+            self.record_malformed(stored, error)
             return None
         self._start_reports.note(stored.name, runner.started)
         return runner
--- a/knapweedrail/relay/news.py
+++ b/knapweedrail/relay/news.py
@@ -63,7 +63,7 @@
     reply_due: bool = True
     update_available: Signal = attrs.field(factory=Signal)
 
-    def note_sent(self, reply: Telling) -> None:
+    def record_sent(self, reply: Telling) -> None:
         """Record that a reply is sent to it."""
         self.reply_due = False
         for update in reply.kinds:
@@ -161,7 +161,7 @@
             return
         subscriber = _Subscriber(request.clock, dict(request.revisions))
         self._subscribers.add(subscriber)
-        self._note_subscribers_changed()
+        self._handle_subscriber_change()
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(
@@ -171,9 +171,9 @@
                 group.cancel_scope.cancel()
         finally:
             self._subscribers.discard(subscriber)
-            self._note_subscribers_changed()
+            self._handle_subscriber_change()
 
-    def _note_subscribers_changed(self) -> None:
+    def _handle_subscriber_change(self) -> None:
         for receiver in self._receivers.values():
             receiver.replica.keep_patches = self.is_followed
         self.changed.give()
@@ -200,7 +200,7 @@
                 if subscriber.reply_due or any(
                     update.changes for update in reply.kinds
                 ):
-                    subscriber.note_sent(reply)
+                    subscriber.record_sent(reply)
                     await link.send(reply)
                     continue
                 await subscriber.update_available.wait()
@@ -324,7 +324,7 @@
         try:
             while True:
                 reply = await link.receive()
-                source.note_reply(time.monotonic())
+                source.record_reply(time.monotonic())
                 self._neighbours.note_answer(source.member)
                 for update in reply.kinds:
                     self._apply_update(source, reply.clock, update)
@@ -361,4 +361,4 @@
                 raise
             return
         if update.age is not None:
-            source.note_confirmed(update.kind, clock, update.age)
+            source.record_confirmation(update.kind, clock, update.age)
--- a/knapweedrail/relay/sources.py
+++ b/knapweedrail/relay/sources.py
@@ -57,11 +57,11 @@
     last_reply_at: float
     confirmed_at: dict[str, float] = attrs.field(factory=dict)
 
-    def note_reply(self, now: float) -> None:
+    def record_reply(self, now: float) -> None:
         """Record a reply of the source."""
         self.last_reply_at = now
 
-    def note_confirmed(self, kind: str, asked_at: float, age: float) -> None:
+    def record_confirmation(self, kind: str, asked_at: float, age: float) -> None:
         """Record how old the source's own state of a kind is.
 
         Args:
--- a/knapweedrail/tests/test_relay_sources.py
+++ b/knapweedrail/tests/test_relay_sources.py
@@ -94,8 +94,8 @@
 def test_delayed_reply_does_not_extend_validity():
     """Guards against old updates that count as new on a host that was paused."""
     source = Source(make_fleet(1)[0], last_reply_at=100.0)
-    source.note_confirmed("k", asked_at=90.0, age=3.0)
-    source.note_reply(100.0)
+    source.record_confirmation("k", asked_at=90.0, age=3.0)
+    source.record_reply(100.0)
     assert source.measure_validity("k", 100.0, TIMING, limit=13.0) == 0.0
     assert source.measure_validity("k", 100.0, TIMING, limit=14.0) == 1.0
     assert source.measure_validity("k", 100.0, TIMING, limit=40.0) == TIMING.timeout
@@ -104,7 +104,7 @@
 def test_source_that_timed_out_is_not_valid():
     """Guards against relying on a source that is paused."""
     source = Source(make_fleet(1)[0], last_reply_at=100.0)
-    source.note_confirmed("k", asked_at=100.0, age=0.0)
+    source.record_confirmation("k", asked_at=100.0, age=0.0)
     assert not source.has_timed_out(101.9, TIMING)
     assert source.has_timed_out(102.0, TIMING)
     assert source.measure_validity("k", 102.0, TIMING, limit=40.0) == 0.0
