--- a/knapweedrail/relay/dialers.py
+++ b/knapweedrail/relay/dialers.py
@@ -1,4 +1,4 @@
-"""Links between relays over gRPC."""
+"""Links between subscribers and sources over gRPC."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from ..wire.relays_pb2 import KindNews, NewsReply, NewsRequest
 from .links import (
     Dialer,
+    EncodedUpdate,
     FollowerLink,
-    KindState,
     LinkLostError,
     Reading,
     Telling,
@@ -28,7 +28,7 @@
 
 
 class GrpcDialer(Dialer):
-    """Opens links over connections of their own, which end with them."""
+    """Opens each link over a connection of its own, closed together with the link."""
 
     @contextlib.asynccontextmanager
     async def dial(self, member: Member) -> AsyncIterator[FollowerLink]:
@@ -36,74 +36,74 @@
         try:
             stream = RelaysStub(channel).FollowNews.open()
             await stream.__aenter__()
-            yield GrpcFollowerLink(stream)
+            yield GrpcSourceLink(stream)
         finally:
             channel.close()
 
 
-class GrpcFollowerLink(FollowerLink):
-    """The end of the relay that follows another one.
+class GrpcSourceLink(FollowerLink):
+    """The subscriber's end of a link.
 
     Args:
-        stream: Its call, which begins with the first message.
+        stream: Stream of the gRPC call, which starts with the first message.
     """
 
     def __init__(self, stream: ClientStream) -> None:
         self._stream = stream
 
-    async def send(self, reading: Reading) -> None:
-        request = NewsRequest(
-            clock=int(reading.clock * MILLISECONDS), revisions=reading.revisions
+    async def send(self, request: Reading) -> None:
+        message = NewsRequest(
+            clock=int(request.clock * MILLISECONDS), revisions=request.revisions
         )
         with _translate_errors():
-            await self._stream.send_message(request)
+            await self._stream.send_message(message)
 
     async def receive(self) -> Telling:
         with _translate_errors():
-            reply = await self._stream.recv_message()
-        if reply is None:
-            raise LinkLostError("ended by the other relay")
+            message = await self._stream.recv_message()
+        if message is None:
+            raise LinkLostError("closed by the source")
         kinds = [
-            KindState(
-                kind=news.kind,
-                since=news.since,
-                revision=news.revision,
-                changes=news.changes,
-                age=news.age / MILLISECONDS if news.confirmed else None,
+            EncodedUpdate(
+                kind=kind_news.kind,
+                since=kind_news.since,
+                revision=kind_news.revision,
+                changes=kind_news.changes,
+                age=kind_news.age / MILLISECONDS if kind_news.confirmed else None,
             )
-            for news in reply.kinds
+            for kind_news in message.kinds
         ]
-        return Telling(reply.clock / MILLISECONDS, tuple(kinds))
+        return Telling(message.clock / MILLISECONDS, tuple(kinds))
 
 
-class GrpcWatcherLink(WatcherLink):
-    """The end of the relay that is followed."""
+class GrpcSubscriberLink(WatcherLink):
+    """The source's end of a link."""
 
     def __init__(self, stream: Stream) -> None:
         self._stream = stream
 
     async def receive(self) -> Reading:
         with _translate_errors():
-            request = await self._stream.recv_message()
-        if request is None:
-            raise LinkLostError("ended by the follower")
-        return Reading(request.clock / MILLISECONDS, dict(request.revisions))
+            message = await self._stream.recv_message()
+        if message is None:
+            raise LinkLostError("closed by the subscriber")
+        return Reading(message.clock / MILLISECONDS, dict(message.revisions))
 
-    async def send(self, telling: Telling) -> None:
+    async def send(self, reply: Telling) -> None:
         kinds = [
             KindNews(
-                kind=state.kind,
-                since=state.since,
-                revision=state.revision,
-                changes=state.changes,
-                confirmed=state.age is not None,
-                age=round((state.age or 0.0) * MILLISECONDS),
+                kind=update.kind,
+                since=update.since,
+                revision=update.revision,
+                changes=update.changes,
+                confirmed=update.age is not None,
+                age=round((update.age or 0.0) * MILLISECONDS),
             )
-            for state in telling.kinds
+            for update in reply.kinds
         ]
-        reply = NewsReply(clock=round(telling.clock * MILLISECONDS), kinds=kinds)
+        message = NewsReply(clock=round(reply.clock * MILLISECONDS), kinds=kinds)
         with _translate_errors():
-            await self._stream.send_message(reply)
+            await self._stream.send_message(message)
 
 
 @contextlib.contextmanager
--- a/knapweedrail/relay/followers.py
+++ b/knapweedrail/relay/followers.py
@@ -1,4 +1,4 @@
-"""Tasks that follow the configuration and the list of runners in the store."""
+"""Tasks that watch the configuration and the list of runners in the store."""
 
 from __future__ import annotations
 
@@ -22,27 +22,28 @@
 from .stores import Change, Changes, HistoryGone, Listing, Store, StoredObject
 from .supplies import NewsTaker, NoSupply
 
-OVERDUE_SECONDS = 1.0
-"""How much later than its watch's own end a configuration may be confirmed: the
-answer's delay, a pause before the next, and half a second to spare."""
+CONFIRMATION_MARGIN_SECONDS = 1.0
+"""Seconds after the end of a watch within which the store must have confirmed what is
+known: the delay of the answer, the pause before the next call, and a margin of half a
+second."""
 
 
 class Follower(Task, NewsTaker):
-    """Follows all objects of one kind by a list and waiting watches.
+    """Tracks all objects of one kind with a list and consecutive long-poll watches.
 
-    A connection on which nothing comes any more looks like a quiet kind. So each
-    watch has an end, after which the store must have answered. While other relays tell
-    what they know of the kind, it doesn't watch itself.
+    A dead connection looks the same as a kind without changes. Therefore each watch has
+    an end by which the store must have answered. While other relays send updates of the
+    kind, this task doesn't watch the store itself.
 
     Args:
         store: The platform's store.
-        kind: The kind that is followed.
-        watch_seconds: Length of one watch.
-        batch_seconds: Pause after changes, so that the next ones come together.
-        malformed: Told of objects that can't be used.
-        reach: Shared by all followers of a store.
-        limit_seconds: Age up to which what is known counts; `OVERDUE_SECONDS` past a
-            watch's end if left out.
+        kind: The kind to watch.
+        watch_seconds: Longest duration of one watch.
+        batch_seconds: Pause after changes, so that the next ones come in one batch.
+        malformed: Records objects that can't be used.
+        reach: Shared by all watchers of a store.
+        limit_seconds: Age up to which the known state counts as current; defaults to
+            `CONFIRMATION_MARGIN_SECONDS` after the end of a watch.
     """
 
     def __init__(
@@ -57,11 +58,11 @@
     ) -> None:
         super().__init__(f"follow {kind}")
         if limit_seconds is None:
-            limit_seconds = watch_seconds + OVERDUE_SECONDS
+            limit_seconds = watch_seconds + CONFIRMATION_MARGIN_SECONDS
         self._limit_seconds = limit_seconds
         self.replica = Replica(kind)
         self.supply = NoSupply()
-        self._listing = True
+        self._list_next = True
         self._needed_revision = 0
         self._malformed = malformed or MalformedObjects()
         self._reach = reach or StoreReach(store, kind, kind)
@@ -70,72 +71,72 @@
         self._store = store
         self._kind = kind
         self._watch_seconds = watch_seconds
-        self._reachable = True
+        self._store_available = True
 
     @property
     def fetching(self) -> bool:
-        """Whether the store has to be read before news can be taken in."""
+        """Whether the store must be read before updates of other relays apply."""
         return self.replica.revision < self._needed_revision
 
     async def run(self) -> None:
-        await self._look()
+        await self._load_stale_list()
         while True:
-            if await self._rest():
+            if await self._wait_for_updates():
                 continue
             began_at = time.monotonic()
             outcome = None
-            with self._reach.wait():
-                outcome = await self._ask()
+            with self._reach.abandon_on_recovery():
+                outcome = await self._call_store()
             if outcome is not None:
-                await self._handle(outcome, time.monotonic() - began_at)
+                await self._handle_outcome(outcome, time.monotonic() - began_at)
 
-    def take_news(self, news: News, confirmed_at: float) -> None:
+    def take_news(self, update: News, confirmed_at: float) -> None:
         try:
-            changes = self.replica.take_news(news)
+            changes = self.replica.merge_update(update)
         except OutOfStepError as error:
-            if error.fetch:
+            if error.needs_fetch:
                 log_event(Event.NEWS_FETCHED, kind=self._kind, reason=str(error))
-                self._needed_revision = max(self._needed_revision, news.revision)
-                self._listing = True
+                self._needed_revision = max(self._needed_revision, update.revision)
+                self._list_next = True
                 self.supply.changed.give()
             raise
-        self._take_changes(changes)
+        self._apply_changes(changes)
         if confirmed_at > self.confirmed_at and not self.fetching:
-            self._listing = False
+            self._list_next = False
             self.confirmed_at = confirmed_at
-            self.note_confirmed(time.monotonic())
+            self.record_confirmation(time.monotonic())
 
-    async def _look(self) -> None:
-        """Begin with what the store knew some seconds ago, for a tenth of a call."""
+    async def _load_stale_list(self) -> None:
+        """Start with a list that may be seconds old and costs a tenth of a call."""
         outcome = await self._store.list_kind(self._kind, stale=True)
         if isinstance(outcome, Listing):
-            self._take_list(outcome)
+            self._apply_list(outcome)
 
-    async def _rest(self) -> bool:
-        """Wait while other relays' word will do; return whether it did."""
+    async def _wait_for_updates(self) -> bool:
+        """Wait while updates of other relays suffice; return whether they did."""
         if self.fetching:
             return False
-        rest = self.supply.measure_rest(self._kind, self._limit_seconds)
-        if rest <= 0.0:
+        wait_seconds = self.supply.measure_rest(self._kind, self._limit_seconds)
+        if wait_seconds <= 0.0:
             return False
-        with anyio.move_on_after(rest):
+        with anyio.move_on_after(wait_seconds):
             await self.supply.changed.wait()
         return True
 
-    async def _ask(self) -> Listing | Changes | HistoryGone | Unavailable:
-        if self._listing:
+    async def _call_store(self) -> Listing | Changes | HistoryGone | Unavailable:
+        if self._list_next:
             return await self._store.list_kind(self._kind)
         return await self._store.watch_kind(
             self._kind, self.replica.revision, self._watch_seconds
         )
 
-    def _take_list(self, listing: Listing) -> None:
-        if self.replica.replace_all(listing.objects, listing.revision):
+    def _apply_list(self, listing: Listing) -> None:
+        if self.replica.apply_list(listing.objects, listing.revision):
             self.replace_all(listing.objects)
             self.supply.note_change()
 
-    def _take_changes(self, changes: list[Change]) -> None:
-        for change in self.order(tuple(changes)):
+    def _apply_changes(self, changes: list[Change]) -> None:
+        for change in self.sort_changes(tuple(changes)):
             if change.removed:
                 self.remove(change.stored)
             else:
@@ -143,87 +144,92 @@
         if changes:
             self.supply.note_change()
 
-    async def _handle(
+    async def _handle_outcome(
         self,
         outcome: Listing | Changes | HistoryGone | Unavailable,
         waited: float,
     ) -> None:
         match outcome:
             case Unavailable():
-                self._note_reach(False, outcome.detail, waited)
-                self._listing = self._listing or self.lists_after_outage
-                await self._reach.find_back(waited)
+                self._record_availability(False, outcome.detail, waited)
+                self._list_next = self._list_next or self.relists_after_outage
+                await self._reach.wait_until_available(waited)
                 self.supply.note_back()
                 return
             case HistoryGone():
                 log_event(Event.HISTORY_GONE, kind=self._kind)
-                self._listing = True
+                self._list_next = True
             case Listing():
-                self._take_list(outcome)
-                self._listing = False
+                self._apply_list(outcome)
+                self._list_next = False
             case Changes():
-                self._take_changes(
-                    self.replica.select(outcome.changes, outcome.revision)
+                self._apply_changes(
+                    self.replica.apply_changes(outcome.changes, outcome.revision)
                 )
-        self._note_reach(True, "", waited)
-        self._reach.note_answer()
+        self._record_availability(True, "", waited)
+        self._reach.reset_backoff()
         self.confirmed_at = time.monotonic()
-        self.note_confirmed(self.confirmed_at)
+        self.record_confirmation(self.confirmed_at)
         if isinstance(outcome, Changes) and outcome.changes:
             await anyio.sleep(self._batch_seconds)
 
-    def _note_reach(self, reached: bool, detail: str, waited: float) -> None:
-        if reached != self._reachable:
+    def _record_availability(self, available: bool, detail: str, waited: float) -> None:
+        if available != self._store_available:
             unheard = time.monotonic() - self.confirmed_at
             log_event(
-                Event.PLATFORM_BACK if reached else Event.PLATFORM_AWAY,
+                Event.PLATFORM_BACK if available else Event.PLATFORM_AWAY,
                 step=self.name,
                 detail=detail,
                 waited=round(waited, 3),
                 unheard=round(unheard, 3) if math.isfinite(unheard) else None,
             )
-        self._reachable = reached
+        self._store_available = available
 
-    def note_confirmed(self, now: float) -> None:
-        """Take in that all that the store has is known."""
+    def record_confirmation(self, now: float) -> None:
+        """Record that the known state was confirmed as current.
 
-    def note_malformed(self, stored: StoredObject, error: ValueError) -> None:
-        """Take in that an object can't be decoded."""
+        Args:
+            now: Time of the confirmation, monotonic seconds.
+        """
+
+    def record_malformed(self, stored: StoredObject, error: ValueError) -> None:
+        """Record that an object can't be decoded."""
         self._malformed.note(
             self._kind, stored.name, stored.revision, str(error), time.monotonic()
         )
 
-    def order(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
-        """Return changes that came together in the order in which they are taken in."""
+    def sort_changes(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
+        """Return the changes of one batch in the order in which to apply them."""
         return changes
 
-    lists_after_outage = False
-    """Whether a list is shorter after an outage than all changes since."""
+    relists_after_outage = False
+    """Whether to list instead of watch after an outage, as a list is shorter than all
+    changes since."""
 
     @abstractmethod
     def replace_all(self, objects: tuple[StoredObject, ...]) -> None:
-        """Take in a whole list."""
+        """Apply a whole list."""
 
     @abstractmethod
     def set(self, stored: StoredObject) -> None:
-        """Take in an object that was written."""
+        """Apply a write of an object."""
 
     @abstractmethod
     def remove(self, stored: StoredObject) -> None:
-        """Take in that an object is gone."""
+        """Apply the removal of an object."""
 
 
 class ConfigurationFollower(Follower):
-    """Keeps the newest configuration; its version never falls.
+    """Keeps the newest configuration; its version never decreases.
 
     Args:
         decode: Decodes a stored configuration; raises ``ValueError``.
         name: Name of the object that holds it.
     """
 
-    # A list has the newest version alone. A watch would bring each one since then in
-    # full, which takes seconds over a small link.
-    lists_after_outage = True
+    # A list contains the newest version only. A watch would return every version since
+    # the outage in full, which takes seconds over a slow link.
+    relists_after_outage = True
 
     def __init__(
         self,
@@ -249,25 +255,25 @@
         self.table: RouteTable | None = None
         self.known = anyio.Event()
         self._listeners: list[Callable[[Configuration], None]] = []
-        self._taken_revision = 0
+        self._applied_revision = 0
         self._decode = decode
         self._name = name
 
     @property
     def configuration(self) -> Configuration | None:
-        """The configuration in force, if one is known."""
+        """The configuration in force; ``None`` before the first one."""
         return self.table.configuration if self.table else None
 
     def subscribe(self, listener: Callable[[Configuration], None]) -> None:
-        """Have each configuration passed on before any request is handled by it."""
+        """Call a listener with each new configuration before requests use it."""
         self._listeners.append(listener)
 
     def is_overdue(self, now: float) -> bool:
-        """Return whether the store should have confirmed the configuration by now."""
+        """Return whether the last confirmation by the store is older than allowed."""
         return now - self.confirmed_at > self._limit_seconds
 
-    def order(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
-        # The newest first, so that older ones needn't be decoded.
+    def sort_changes(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
+        # Newest first, so that older versions aren't decoded.
         return changes[::-1]
 
     def replace_all(self, objects: tuple[StoredObject, ...]) -> None:
@@ -275,18 +281,18 @@
             self.set(stored)
 
     def set(self, stored: StoredObject) -> None:
-        if stored.name != self._name or stored.revision <= self._taken_revision:
+        if stored.name != self._name or stored.revision <= self._applied_revision:
             return
         try:
             found = self._decode(stored.spec)
         except ValueError as error:
-            self.note_malformed(stored, error)
+            self.record_malformed(stored, error)
             return
         known = self.configuration
         if known is not None and found.version <= known.version:
             return
         self.table = RouteTable(found)
-        self._taken_revision = stored.revision
+        self._applied_revision = stored.revision
         self.known.set()
         for listener in self._listeners:
             listener(found)
@@ -300,7 +306,7 @@
         log_event(Event.CONFIGURATION_REMOVED, name=stored.name)
 
 
-_READINGS = {
+_READING_EVENTS = {
     Reading.TAKEN: Event.RUNNER_LISTED,
     Reading.RESTARTED: Event.RUNNER_RESTARTED,
     Reading.OUTDATED: Event.RUNNER_OUTDATED,
@@ -308,11 +314,12 @@
 
 
 class RunnerFollower(Follower):
-    """Keeps the table of runners.
+    """Keeps the table of runners up to date.
 
     Args:
-        decode: Decodes a runner's entry by name; raises ``ValueError``.
-        table: The table that is kept.
+        decode: Decodes a runner's entry from its name and content; raises
+            ``ValueError``.
+        table: The table to update.
     """
 
     def __init__(
@@ -338,24 +345,25 @@
         )
         self.table = table
         self._decode_runner = decode
-        self._telling = StartTelling()
+        self._start_reports = StartTelling()
 
     def replace_all(self, objects: tuple[StoredObject, ...]) -> None:
-        self._telling.keep({stored.name for stored in objects})
+        self._start_reports.keep({stored.name for stored in objects})
         found = [(stored, self._decode(stored)) for stored in objects]
-        runners = [runner for stored, runner in found if self._admit(stored, runner)]
+        runners = [runner for stored, runner in found if self._accepts(stored, runner)]
         self.table.replace_all(runners, time.monotonic())
 
     def set(self, stored: StoredObject) -> None:
         runner = self._decode(stored)
-        if not self._admit(stored, runner):
-            # As if it were missing: others get its work. A runner whose entry another
-            # writer spoilt writes it again at its next heartbeat, and keeps its record
-            # until then; it is used meanwhile only where no other is left.
+        if not self._accepts(stored, runner):
+            # Treated like a missing entry, so that other runners get its requests. A
+            # runner whose entry another writer overwrote restores it at its next
+            # heartbeat. Until then the table keeps its state and uses it only as a last
+            # resort.
             self.table.remove_runner(stored.name, time.monotonic())
             return
         log_event(
-            _READINGS[self.table.set_runner(runner)],
+            _READING_EVENTS[self.table.set_runner(runner)],
             runner=runner.name,
             started=runner.started,
             endpoint=runner.endpoint,
@@ -363,25 +371,27 @@
             revision=stored.revision,
         )
 
-    def note_confirmed(self, now: float) -> None:
+    def record_confirmation(self, now: float) -> None:
         self.table.note_list(now)
 
     def remove(self, stored: StoredObject) -> None:
-        self._telling.forget(stored.name)
-        started = self._find_start(stored)
+        self._start_reports.forget(stored.name)
+        started = self._decode_start(stored)
         self.table.remove_runner(stored.name, time.monotonic(), started)
         log_event(Event.RUNNER_UNLISTED, runner=stored.name, revision=stored.revision)
 
-    def _admit(self, stored: StoredObject, runner: Runner | None) -> bool:
+    def _accepts(self, stored: StoredObject, runner: Runner | None) -> bool:
         if runner is None:
             return False
-        if not self._telling.admits(runner.started):
-            self.note_malformed(stored, ValueError("it doesn't tell its start"))
+        if not self._start_reports.admits(runner.started):
+            self.record_malformed(
+                stored, ValueError("start time is missing, which other entries have")
+            )
             return False
         return True
 
-    def _find_start(self, stored: StoredObject) -> int:
-        """Return the start of the life that an entry told of before it went."""
+    def _decode_start(self, stored: StoredObject) -> int:
+        """Return the start time that a removed entry named, Unix milliseconds."""
         try:
             return self._decode_runner(stored.name, stored.spec).started
         except ValueError:
@@ -391,8 +401,8 @@
         try:
             runner = self._decode_runner(stored.name, stored.spec)
         except ValueError as error:
-            self._telling.forget(stored.name)
-            self.note_malformed(stored, error)
+            self._start_reports.forget(stored.name)
+            self.record_malformed(stored, error)
             return None
-        self._telling.note(stored.name, runner.started)
+        self._start_reports.note(stored.name, runner.started)
         return runner
--- a/knapweedrail/relay/replicas.py
+++ b/knapweedrail/relay/replicas.py
@@ -1,9 +1,10 @@
-"""What a relay knows of one kind of the store's objects, to tell others.
+"""Replica of one kind of the store's objects, and updates between replicas.
 
-Pure. A replica holds a revision of the store and all objects of its kind as they are
-there. What it tells leads on from a revision that its reader has, names each object
-that has changed since, and says how it is now; so a reader can take in what others tell
-it in any order, and nobody ever goes back.
+Pure: no I/O and no clock. A replica holds all objects of its kind as of one revision of
+the store. An update starts from a revision that the subscriber already has, names each
+object that has changed since then, and carries its present state. A subscriber can
+therefore apply updates from several sources in any order, and never reverts to an
+earlier state.
 """
 
 from __future__ import annotations
@@ -18,25 +19,25 @@
 from .patches import apply_patch, make_patch
 from .stores import Change, StoredObject, Unreadable
 
-MOST_REMOVED = 1000
-"""Objects that are gone and still told of. A reader that hasn't heard of the oldest
-gets the whole list."""
+MAX_REMOVED_OBJECTS = 1000
+"""Removed objects that are remembered. A subscriber whose revision is older than the
+oldest remembered removal gets the whole list."""
 
-LARGE_BYTES = 2048
-"""Size from which on an object is told by its difference. Runners' entries are a few
+LARGE_OBJECT_BYTES = 2048
+"""Encoded size from which an object is sent as a patch. Entries of runners take a few
 hundred bytes, configurations tens of thousands and more."""
 
-MOST_BYTES = 32_768
-"""Largest object or difference that is told to others. One relay of a data centre tells
-some eighty, over a link that carries a megabyte a second; the store's is a hundred
-times as wide, so that what is larger is fetched there."""
+MAX_UPDATE_BYTES = 32_768
+"""Largest object or sum of patches in an update. One relay of a data centre serves some
+eighty others over a link of one megabyte a second. The link of the store is a hundred
+times as fast, so subscribers fetch larger objects there."""
 
-MOST_PATCHES = 32
-"""Differences kept of one object."""
+MAX_PATCHES = 32
+"""Patches kept for one object."""
 
 
-class Told(enum.StrEnum):
-    """How a change is told."""
+class UpdateForm(enum.StrEnum):
+    """How an update represents the change of an object."""
 
     WRITTEN = "written"
     REMOVED = "removed"
@@ -46,50 +47,50 @@
 
 
 @attrs.frozen
-class NewsItem:
-    """One object that has changed.
+class ObjectUpdate:
+    """The change of one object.
 
     Attributes:
-        name: Of the object.
-        revision: Of its last change.
-        told: How it is told.
-        value: What it holds, or held when it was removed; the differences, oldest
-            first; nothing if it is too large.
-        base: Revision of the object from which the differences lead on.
+        name: Name of the object.
+        revision: Revision of its last change.
+        form: How the change is represented.
+        value: The object's content, or its last content if it was removed; a list of
+            patches, oldest first, if patched; ``None`` if too large or unreadable.
+        base: Revision of the object that the first patch applies to.
     """
 
     name: str
     revision: int
-    told: Told
+    form: UpdateForm
     value: Any = None
     base: int = 0
 
 
 @attrs.frozen
 class News:
-    """What has changed in a kind.
+    """The changes of a kind between two revisions of the store.
 
     Attributes:
-        since: Revision from which it leads on; 0 if it names all objects there are.
-        revision: Revision to which it leads.
+        since: Revision that the update starts from; 0 if it lists all objects.
+        revision: Revision that the update leads to.
     """
 
     kind: str
     since: int
     revision: int
-    items: tuple[NewsItem, ...] = ()
+    items: tuple[ObjectUpdate, ...] = ()
 
 
 class OutOfStepError(Exception):
-    """News that doesn't lead on from what is known, or is too large to be told.
+    """An update doesn't apply to the replica, or omits an object that is too large.
 
     Attributes:
-        fetch: Whether what it tells of has to be read from the store.
+        needs_fetch: Whether the changed objects must be read from the store.
     """
 
-    def __init__(self, reason: str, fetch: bool) -> None:
+    def __init__(self, reason: str, needs_fetch: bool) -> None:
         super().__init__(reason)
-        self.fetch = fetch
+        self.needs_fetch = needs_fetch
 
 
 @attrs.frozen
@@ -105,14 +106,14 @@
     """All objects of one kind, as of a revision of the store.
 
     Attributes:
-        revision: That revision; 0 before any was seen.
-        oldest: Revision from which on it can tell all changes.
-        keep_patches: Whether others are told, so that differences are worked out.
+        revision: Revision of the store; 0 before the first list.
+        oldest_revision: Oldest revision from which all changes are known.
+        keep_patches: Whether to compute and keep patches, as other relays subscribe.
     """
 
     kind: str
     revision: int = 0
-    oldest: int = 0
+    oldest_revision: int = 0
     keep_patches: bool = False
     _objects: dict[str, StoredObject] = attrs.field(factory=dict)
     _removed: OrderedDict[str, tuple[int, StoredObject]] = attrs.field(
@@ -121,15 +122,15 @@
     _patches: dict[str, list[_Patch]] = attrs.field(factory=dict)
     _encoded: dict[int, bytes] = attrs.field(factory=dict)
 
-    def replace_all(self, objects: tuple[StoredObject, ...], revision: int) -> bool:
-        """Take in a whole list; return whether it is news.
+    def apply_list(self, objects: tuple[StoredObject, ...], revision: int) -> bool:
+        """Apply a whole list; return whether it is newer than the replica.
 
-        A list may be as of an earlier revision than what is known; it tells nothing.
+        A list of an earlier revision than the replica's is ignored.
         """
         if revision <= self.revision:
             return False
         if not self.revision:
-            self.oldest = revision
+            self.oldest_revision = revision
         names = {stored.name for stored in objects}
         for name in [name for name in self._objects if name not in names]:
             self._remove(self._objects[name], revision)
@@ -138,48 +139,52 @@
         self._advance(revision)
         return True
 
-    def select(self, changes: tuple[Change, ...], revision: int) -> list[Change]:
-        """Take in what the store says of changes; return those that are news."""
+    def apply_changes(self, changes: tuple[Change, ...], revision: int) -> list[Change]:
+        """Apply changes from the store; return those that weren't applied yet."""
         if revision <= self.revision:
             return []
-        found = [change for change in changes if self._take(change, revision)]
+        found = [change for change in changes if self._apply_change(change, revision)]
         self._advance(revision)
         return found
 
-    def take_news(self, news: News) -> list[Change]:
-        """Take in what another relay tells; return what changed by it.
+    def merge_update(self, update: News) -> list[Change]:
+        """Apply an update of another relay; return the changes that it made.
 
         Raises:
-            OutOfStepError: If it can't be taken in; nothing has changed then.
+            OutOfStepError: If it doesn't apply; the replica is left unchanged.
         """
-        if news.revision <= self.revision:
+        if update.revision <= self.revision:
             return []
-        if news.since > self.revision:
-            raise OutOfStepError(f"leads on from {news.since}", fetch=False)
-        found = [self._decode(item) for item in news.items]
-        if not news.since:
-            named = {item.name for item in news.items}
-            gone = [self._objects[n] for n in self._objects if n not in named]
-            found.extend(Change(stored, removed=True) for stored in gone)
+        if update.since > self.revision:
+            raise OutOfStepError(
+                f"update starts from revision {update.since}, after the replica's",
+                needs_fetch=False,
+            )
+        found = [self._decode_item(item) for item in update.items]
+        if not update.since:
+            named = {item.name for item in update.items}
+            missing = [self._objects[n] for n in self._objects if n not in named]
+            found.extend(Change(stored, removed=True) for stored in missing)
         if not self.revision:
-            self.oldest = news.revision
-        patched = {i.name: i for i in news.items if i.told is Told.PATCHED}
+            self.oldest_revision = update.revision
+        patched = {i.name: i for i in update.items if i.form is UpdateForm.PATCHED}
         for item in patched.values():
-            self._keep_patches(item)
-        changed = [change for change in found if not self._knows(change)]
+            self._record_received_patches(item)
+        changed = [change for change in found if not self._is_applied(change)]
         for change in changed:
             if change.removed:
-                self._remove(change.stored, news.revision)
+                self._remove(change.stored, update.revision)
             else:
                 self._set(change.stored, compare=change.stored.name not in patched)
-        self._advance(news.revision)
+        self._advance(update.revision)
         return changed
 
-    def tell(self, since: int) -> bytes:
-        """Return what changed since a revision, encoded; empty if nothing did.
+    def encode_changes(self, since: int) -> bytes:
+        """Return the changes since a revision, encoded; empty if there are none.
 
         Args:
-            since: What the reader knows; below `oldest` it is told all.
+            since: Revision of the subscriber; the result lists all objects if it is
+                below `oldest_revision`.
         """
         if since and since >= self.revision:
             return b""
@@ -190,22 +195,22 @@
         return known
 
     def find_base(self, since: int) -> int:
-        """Return the revision that what is told leads on from; 0 for all there is."""
-        return since if since >= self.oldest else 0
+        """Return the revision that an update starts from; 0 if it lists all objects."""
+        return since if since >= self.oldest_revision else 0
 
     def _advance(self, revision: int) -> None:
         self.revision = revision
         self._encoded.clear()
 
-    def _take(self, change: Change, revision: int) -> bool:
+    def _apply_change(self, change: Change, revision: int) -> bool:
         stored = change.stored
         known = self._objects.get(stored.name)
         if known is not None:
             newer = stored.revision - known.revision
             if newer < 0 or (newer == 0 and not change.removed):
                 return False
-        gone = self._removed.get(stored.name)
-        if gone is not None and stored.revision <= gone[0]:
+        removal = self._removed.get(stored.name)
+        if removal is not None and stored.revision <= removal[0]:
             return False
         if change.removed:
             self._remove(stored, revision)
@@ -218,7 +223,7 @@
         if known is not None and known.revision >= stored.revision:
             return
         if known is not None and compare and self.keep_patches:
-            self._compare(known, stored)
+            self._record_patch(known, stored)
         self._objects[stored.name] = stored
         self._removed.pop(stored.name, None)
 
@@ -227,18 +232,18 @@
         self._patches.pop(stored.name, None)
         self._removed[stored.name] = (revision, stored)
         self._removed.move_to_end(stored.name)
-        if len(self._removed) > MOST_REMOVED:
-            _, (oldest, _) = self._removed.popitem(last=False)
-            self.oldest = max(self.oldest, oldest)
+        if len(self._removed) > MAX_REMOVED_OBJECTS:
+            _, (oldest_revision, _) = self._removed.popitem(last=False)
+            self.oldest_revision = max(self.oldest_revision, oldest_revision)
 
-    def _knows(self, change: Change) -> bool:
+    def _is_applied(self, change: Change) -> bool:
         known = self._objects.get(change.stored.name)
         if change.removed:
             return known is None and change.stored.name in self._removed
         return known is not None and known.revision >= change.stored.revision
 
-    def _compare(self, known: StoredObject, stored: StoredObject) -> None:
-        """Keep the difference between two versions of a large object."""
+    def _record_patch(self, known: StoredObject, stored: StoredObject) -> None:
+        """Keep the patch between two versions of a large object."""
         unreadable = isinstance(known.spec, Unreadable)
         if unreadable or isinstance(stored.spec, Unreadable) or _is_small(stored):
             self._patches.pop(stored.name, None)
@@ -251,10 +256,10 @@
         if kept and kept[-1].revision != base:
             kept.clear()
         kept.append(_Patch(base, revision, patch, len(orjson.dumps(patch))))
-        del kept[:-MOST_PATCHES]
+        del kept[:-MAX_PATCHES]
 
-    def _keep_patches(self, item: NewsItem) -> None:
-        """Pass on differences that another relay worked out."""
+    def _record_received_patches(self, item: ObjectUpdate) -> None:
+        """Keep the patches that another relay has computed."""
         known = self._objects.get(item.name)
         if not self.keep_patches or known is None or known.revision != item.base:
             return
@@ -264,98 +269,111 @@
             self._add_patch(item.name, base, item.revision if last else revision, patch)
             base = revision
 
-    def _list_items(self, since: int) -> list[NewsItem]:
+    def _list_items(self, since: int) -> list[ObjectUpdate]:
         base = self.find_base(since)
         items = [
-            self._render(stored, base)
+            self._make_item(stored, base)
             for stored in self._objects.values()
             if not base or stored.revision > base
         ]
         if base:
             items.extend(
-                NewsItem(name, stored.revision, Told.REMOVED, _get_spec(stored))
+                ObjectUpdate(
+                    name,
+                    stored.revision,
+                    UpdateForm.REMOVED,
+                    _get_readable_spec(stored),
+                )
                 for name, (revision, stored) in self._removed.items()
                 if revision > base
             )
         return items
 
-    def _render(self, stored: StoredObject, base: int) -> NewsItem:
+    def _make_item(self, stored: StoredObject, base: int) -> ObjectUpdate:
         if isinstance(stored.spec, Unreadable):
-            return NewsItem(stored.name, stored.revision, Told.UNREADABLE)
+            return ObjectUpdate(stored.name, stored.revision, UpdateForm.UNREADABLE)
         if _is_small(stored):
-            return NewsItem(stored.name, stored.revision, Told.WRITTEN, stored.spec)
+            return ObjectUpdate(
+                stored.name, stored.revision, UpdateForm.WRITTEN, stored.spec
+            )
         patches = self._find_patches(stored.name, base) if base else []
-        if patches and sum(patch.size for patch in patches) <= MOST_BYTES:
+        if patches and sum(patch.size for patch in patches) <= MAX_UPDATE_BYTES:
             value = [[patch.revision, patch.patch] for patch in patches]
-            return NewsItem(
-                stored.name, stored.revision, Told.PATCHED, value, patches[0].base
+            return ObjectUpdate(
+                stored.name, stored.revision, UpdateForm.PATCHED, value, patches[0].base
+            )
+        if len(orjson.dumps(stored.spec)) <= MAX_UPDATE_BYTES:
+            return ObjectUpdate(
+                stored.name, stored.revision, UpdateForm.WRITTEN, stored.spec
             )
-        if len(orjson.dumps(stored.spec)) <= MOST_BYTES:
-            return NewsItem(stored.name, stored.revision, Told.WRITTEN, stored.spec)
-        return NewsItem(stored.name, stored.revision, Told.LARGE)
+        return ObjectUpdate(stored.name, stored.revision, UpdateForm.LARGE)
 
     def _find_patches(self, name: str, since: int) -> list[_Patch]:
-        """Return the differences that lead on from what a reader has of an object."""
+        """Return the patches that apply to a subscriber's version of an object."""
         kept = self._patches.get(name, [])
         later = [patch for patch in kept if patch.revision > since]
         if later and later[0].base > since:
             return []
         return later
 
-    def _decode(self, item: NewsItem) -> Change:
-        if item.told is Told.LARGE:
-            raise OutOfStepError(f"{item.name} is too large to be told", fetch=True)
+    def _decode_item(self, item: ObjectUpdate) -> Change:
+        if item.form is UpdateForm.LARGE:
+            raise OutOfStepError(
+                f"{item.name} is too large for an update", needs_fetch=True
+            )
         spec = item.value
-        if item.told is Told.PATCHED:
-            spec = self._apply(item)
-        elif item.told is Told.UNREADABLE:
+        if item.form is UpdateForm.PATCHED:
+            spec = self._apply_patches(item)
+        elif item.form is UpdateForm.UNREADABLE:
             spec = Unreadable()
         stored = StoredObject(item.name, item.revision, spec)
-        return Change(stored, removed=item.told is Told.REMOVED)
+        return Change(stored, removed=item.form is UpdateForm.REMOVED)
 
-    def _apply(self, item: NewsItem) -> Any:
+    def _apply_patches(self, item: ObjectUpdate) -> Any:
         known = self._objects.get(item.name)
         if known is not None and known.revision >= item.revision:
             return known.spec
         if known is None or known.revision != item.base:
-            raise OutOfStepError(f"another version of {item.name}", fetch=True)
+            raise OutOfStepError(
+                f"patch applies to another version of {item.name}", needs_fetch=True
+            )
         try:
             spec = known.spec
             for _, patch in item.value:
                 spec = apply_patch(spec, patch)
         except (TypeError, ValueError) as error:
-            raise OutOfStepError(f"{item.name}: {error}", fetch=True) from error
+            raise OutOfStepError(f"{item.name}: {error}", needs_fetch=True) from error
         return spec
 
 
-def encode_items(items: list[NewsItem]) -> bytes:
-    """Return items as they are sent."""
+def encode_items(items: list[ObjectUpdate]) -> bytes:
+    """Return the items of an update, encoded for sending."""
     return orjson.dumps(
         [
-            [item.name, item.revision, item.told.value, item.value, item.base]
+            [item.name, item.revision, item.form.value, item.value, item.base]
             for item in items
         ]
     )
 
 
-def decode_items(data: bytes) -> tuple[NewsItem, ...]:
-    """Decode items.
+def decode_items(data: bytes) -> tuple[ObjectUpdate, ...]:
+    """Decode the items of an update.
 
     Raises:
-        ValueError: If they aren't what `encode_items` gives.
+        ValueError: If the data isn't in the format of `encode_items`.
     """
     try:
         return tuple(
-            NewsItem(str(name), int(revision), Told(told), value, int(base))
-            for name, revision, told, value, base in orjson.loads(data or b"[]")
+            ObjectUpdate(str(name), int(revision), UpdateForm(form), value, int(base))
+            for name, revision, form, value, base in orjson.loads(data or b"[]")
         )
     except (TypeError, ValueError) as error:
-        raise ValueError(f"no news: {error!r:.200}") from error
+        raise ValueError(f"malformed update: {error!r:.200}") from error
 
 
 def _is_small(stored: StoredObject) -> bool:
-    return len(orjson.dumps(stored.spec)) < LARGE_BYTES
+    return len(orjson.dumps(stored.spec)) < LARGE_OBJECT_BYTES
 
 
-def _get_spec(stored: StoredObject) -> Any:
+def _get_readable_spec(stored: StoredObject) -> Any:
     return None if isinstance(stored.spec, Unreadable) else stored.spec
--- a/knapweedrail/tests/test_relay_foreign.py
+++ b/knapweedrail/tests/test_relay_foreign.py
@@ -1,4 +1,4 @@
-"""Entries in the store that another writer wrote, or that can't be read."""
+"""Entries of the store that a foreign writer wrote, or that can't be parsed."""
 
 import math
 
@@ -66,18 +66,20 @@
 
 @pytest.fixture(autouse=True)
 def lines(monkeypatch):
-    """Fields of the log lines on malformed objects."""
-    told = []
+    """Return the fields of the log lines on malformed objects."""
+    logged = []
     monkeypatch.setattr(
         malformed,
         "log_event",
-        lambda event, **fields: event is Event.OBJECT_MALFORMED and told.append(fields),
+        lambda event, **fields: (
+            event is Event.OBJECT_MALFORMED and logged.append(fields)
+        ),
     )
-    return told
+    return logged
 
 
-def is_sound(spec):
-    # Truth values are equal to numbers, but written otherwise.
+def is_valid(spec):
+    # Booleans are equal to numbers, but have another representation.
     return repr(spec) == repr(make_entry(OLD))
 
 
@@ -86,9 +88,9 @@
 
 
 @pytest.mark.parametrize("bad", BAD_FIELDS)
-async def test_an_entry_with_a_field_of_another_type_names_no_runner(bad):
-    """Another program writes to the runners' kind. Taken at its word, its entry draws
-    requests to an address where nobody serves them."""
+async def test_entry_with_invalid_field_is_ignored(bad):
+    """Guards against an entry of another program in the runners' kind that attracts
+    requests to an address where no runner serves them."""
     listed = Listed()
     listed.list(**{"i-0": make_entry(OLD), "i-1": make_entry(OLD) | bad})
     assert list_names(listed) == ["i-0"]
@@ -97,31 +99,31 @@
 
 
 @pytest.mark.parametrize("spec", BAD_SPECS)
-async def test_an_entry_with_parts_missing_names_no_runner(spec):
+async def test_incomplete_entry_is_ignored(spec):
     listed = Listed()
     listed.list(**{"i-1": spec, "i-0": make_entry(OLD)})
     assert list_names(listed) == ["i-0"]
 
 
 @pytest.mark.parametrize("name", ["", "a b", "a,b", "a|b", "a\r\nx: y", "é", "x" * 300])
-async def test_a_name_that_fits_no_header_names_no_runner(name):
-    """The name is sent to the runner in a header. One with a line's end in it would
-    fail every request that is meant for it, or smuggle another header in."""
+async def test_entry_whose_name_is_no_valid_header_value_is_ignored(name):
+    """The name is sent to the runner in a header. A line break in it would fail every
+    request to the runner, or inject another header."""
     listed = Listed()
     listed.list(**{name: make_entry(OLD), "i-0": make_entry(OLD)})
     assert list_names(listed) == ["i-0"]
 
 
-async def test_a_service_that_is_named_later_is_used_then():
-    """Runners of a new service start before the operator adds it. Their entries don't
-    change any more once it does."""
+async def test_runners_of_unconfigured_service_are_kept():
+    """Runners of a new service may start before the operator configures it. Their
+    entries don't change when the service is added."""
     listed = Listed()
     listed.write("i-0", OLD, service="later")
     assert list_names(listed, "e") == []
     assert list_names(listed, "later") == ["i-0"]
 
 
-async def test_a_runner_whose_entry_names_another_service_gets_no_calls_of_the_first():
+async def test_runner_that_changes_service_leaves_the_old_one():
     listed = Listed()
     listed.write("i-0", OLD)
     listed.write("i-0", OLD, service="nobody's")
@@ -133,7 +135,7 @@
     st.lists(st.one_of(st.just(make_entry(OLD)), bad_specs), min_size=1, max_size=50),
     st.booleans(),
 )
-def test_the_sound_entries_of_a_list_hold_whatever_the_others_are(specs, whole):
+def test_valid_entries_are_used_whatever_the_others_are(specs, whole):
     anyio.run(check_list, specs, whole)
 
 
@@ -145,8 +147,8 @@
     else:
         for name, spec in named.items():
             listed.follower.set(listed._store(name, spec))
-    sound = sorted(name for name, spec in named.items() if is_sound(spec))
-    assert sorted(list_names(listed)) == sound
+    valid = sorted(name for name, spec in named.items() if is_valid(spec))
+    assert sorted(list_names(listed)) == valid
 
 
 @settings(max_examples=60)
@@ -159,7 +161,7 @@
         max_size=30,
     )
 )
-def test_the_last_word_on_each_runner_counts_in_a_watch(changes):
+def test_last_change_of_each_runner_wins_in_a_watch(changes):
     anyio.run(check_watch, changes)
 
 
@@ -173,14 +175,14 @@
             listed.remove(name, OLD)
         else:
             listed.follower.set(listed._store(name, spec))
-    sound = sorted(name for name, spec in last.items() if is_sound(spec))
-    assert sorted(list_names(listed)) == sound
+    valid = sorted(name for name, spec in last.items() if is_valid(spec))
+    assert sorted(list_names(listed)) == valid
 
 
-async def test_a_runner_whose_entry_turns_bad_and_good_keeps_its_record():
-    """Another writer spoils a runner's entry while requests are under way there, and
-    the runner writes it anew a heartbeat later. It is the same life: what is known of
-    its load still holds, and what ends meanwhile must be counted off."""
+async def test_runner_state_survives_temporarily_malformed_entry():
+    """Another writer overwrites a runner's entry while requests are in flight there,
+    and the runner restores it at its next heartbeat. It is the same incarnation: its
+    known load still holds, and requests that end meanwhile must be subtracted."""
     listed = Listed()
     listed.write("i-0", OLD)
     listed.write("i-1", OLD)
@@ -194,21 +196,21 @@
     assert view in listed.find() and view.running == 1
 
 
-async def test_runners_whose_entries_are_all_spoilt_are_a_last_resort():
-    """One program overwrites all entries at once. The runners are well and write them
-    anew within a heartbeat; refusing everybody until then would be an outage."""
+async def test_runners_with_malformed_entries_are_a_last_resort():
+    """A program overwrites all entries at once. The runners are healthy and restore
+    them within a heartbeat; refusing all requests until then would be an outage."""
     listed = Listed()
     specs = {f"i-{number}": make_entry(OLD) for number in range(3)}
     listed.list(**specs)
-    listed.list(**dict.fromkeys(specs, "spoilt"))
+    listed.list(**dict.fromkeys(specs, "malformed"))
     gone_at = listed.table._views["i-0"].gone_at
     assert len(list_names(listed, now=gone_at + 1.0)) == 3
     assert list_names(listed, now=gone_at + 2.0) == []
 
 
-async def test_an_answer_under_way_is_passed_on_as_its_runner_turns_bad():
+async def test_answer_in_flight_is_delivered_when_entry_turns_malformed():
     async def respond(stream, head):
-        listed.follower.set(listed._store("i-0", "spoilt"))
+        listed.follower.set(listed._store("i-0", "malformed"))
         return await answer_well(stream, head)
 
     runner = ScriptedRunner(respond)
@@ -218,9 +220,9 @@
         assert (await relay.call()).status == 200
 
 
-async def test_one_line_and_one_count_for_each_entry_and_change(lines):
-    """A list is read again whenever the store drops its history. With a line for each
-    bad entry each time, the lines that are left out are those on requests."""
+async def test_malformed_entry_is_logged_and_counted_once_per_change(lines):
+    """The list is read again whenever the store compacts its history. If each bad entry
+    were logged each time, the lines on requests would be dropped."""
     counted = []
     listed = Listed()
     listed.follower = RunnerFollower(
@@ -235,29 +237,29 @@
     for _ in range(3):
         listed.follower.replace_all(tuple(bad))
     assert counted == ["servers"] * 50
-    assert len(lines) == malformed.LINES
+    assert len(lines) == malformed.MAX_LOG_LINES
     listed.follower.set(listed._store("i-0", {"slots": -1}))
     assert len(counted) == 51
 
 
-def test_lines_are_bounded_in_number_and_length(lines):
+def test_log_lines_are_limited_in_number_and_length(lines):
     objects = MalformedObjects()
     for number in range(2000):
         objects.note("k", "n" * 5000, number, "e", now=number / 100)
-    assert len(lines) == 2 * malformed.LINES
-    assert all(len(line["name"]) == malformed.NAME_CHARACTERS for line in lines)
+    assert len(lines) == 2 * malformed.MAX_LOG_LINES
+    assert all(len(line["name"]) == malformed.MAX_NAME_CHARACTERS for line in lines)
 
 
 @pytest.mark.parametrize(
     "spec", ["x" * 10**6, [[["y" * 10**5]]], {"service": "z" * 999}]
 )
-def test_what_is_said_of_an_entry_is_short(spec):
+def test_error_messages_on_entries_are_short(spec):
     with pytest.raises(ValueError) as caught:
         decode_runner("i-0", spec)
     assert len(str(caught.value)) < 300
 
 
-SOUND = orjson.dumps(make_entry(OLD))
+VALID_SPEC = orjson.dumps(make_entry(OLD))
 UNREADABLE = [
     b'{"service":"\xff\xfe","state":"ready"}',
     b'{"slots":NaN}',
@@ -274,19 +276,19 @@
 
 
 @pytest.mark.parametrize("spec", UNREADABLE)
-def test_bytes_that_cannot_be_read_spoil_no_other_object_of_a_page(spec):
-    """One entry holds bytes that no parser takes. Rejected whole, the page would make
-    the store count as away, and every relay would go on with the runners that it
-    happened to know."""
+def test_unparsable_object_does_not_affect_others_on_the_page(spec):
+    """Guards against rejecting a whole page for one entry that no parser accepts. The
+    store would count as unavailable, and every relay would keep the runners that it
+    knew before."""
     items = [
-        make_object(b"a", SOUND),
+        make_object(b"a", VALID_SPEC),
         make_object(b"b", spec),
-        make_object(b"c", SOUND),
+        make_object(b"c", VALID_SPEC),
     ]
     page = parse_page(b'{"entries": [%s], "asOf": 9}' % b" , ".join(items))
     assert page["asOf"] == 9
     found = [(one["metadata"]["name"], one["spec"]) for one in page["entries"]]
-    good = orjson.loads(SOUND)
+    good = orjson.loads(VALID_SPEC)
     assert found == [("a", good), ("b", Unreadable()), ("c", good)]
     watch = b'{"events":[{"removed":false,"object":%s},{"removed":true,"object":%s}]}'
     events = parse_page(watch % (items[1], items[0]))["events"]
@@ -296,13 +298,13 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"<html>", b'{"entries":[{]}', b"NaN,"])
-def test_what_is_no_page_is_an_error(body):
+def test_invalid_page_is_an_error(body):
     with pytest.raises(ValueError):
         parse_page(body)
 
 
 @given(st.binary(max_size=60))
-def test_a_page_of_any_bytes_is_read_or_an_error(body):
+def test_arbitrary_bytes_are_parsed_or_raise_value_error(body):
     for content in (body, b'{"entries":[%s],"asOf":1}' % body):
         try:
             parse_page(content)
@@ -311,7 +313,7 @@
 
 
 @given(st.recursive(st.none() | st.text() | st.integers(0, 9), st.lists, max_leaves=9))
-def test_a_page_taken_apart_is_as_it_was_but_for_the_bad_object(value):
+def test_fallback_parsing_changes_only_the_malformed_object(value):
     spec = orjson.dumps({"s": value, 'k"]}': value})
     items = b",".join([make_object(b"a", spec), make_object(b"b", b"[NaN]")])
     first, second = parse_page(b'{"entries":[%s]}' % items)["entries"]
@@ -320,24 +322,24 @@
 
 
 @pytest.mark.parametrize(
-    "telling, silent, used",
+    "with_start, without_start, used",
     [
         (3, 1, {"t0", "t1", "t2"}),
         (0, 3, {"s0", "s1", "s2"}),
         (1, 2, {"t0", "s0", "s1"}),
     ],
 )
-async def test_an_entry_that_does_not_tell_its_start_is_used_where_most_do_not(
-    telling, silent, used
+async def test_entry_without_start_time_is_used_only_where_most_lack_it(
+    with_start, without_start, used
 ):
-    """Another writer puts an entry among the runners' own that lacks only their start.
-    Its address would get requests that no runner serves. Where runners don't tell their
-    start at all, one entry that does must not make strangers of them."""
+    """A foreign entry that only lacks a start time would attract requests that no
+    runner serves. But where most runners give no start time, one entry with a start
+    time must not exclude the others."""
     listed = Listed()
-    started = {f"t{number}": OLD for number in range(telling)}
-    plain = [f"s{number}" for number in range(silent)]
+    started = {f"t{number}": OLD for number in range(with_start)}
+    without_born = [f"s{number}" for number in range(without_start)]
     entries = [listed._store(name, make_entry(OLD)) for name in started]
-    for name in plain:
+    for name in without_born:
         spec = make_entry(OLD)
         del spec["born"]
         entries.append(listed._store(name, spec))
@@ -345,12 +347,12 @@
     assert {life.name for life in listed.table.list_lives()} == used
 
 
-async def test_a_follower_goes_on_beside_foreign_entries():
-    """Fifty entries, one of them foreign, then all of them, then none, as one list and
-    as a watch that goes on."""
+async def test_watcher_continues_among_foreign_entries():
+    """One of fifty entries is foreign, then all are, then none is, first in a list and
+    then in a continued watch."""
     async with run_store() as (objects, client):
         listed = Listed()
-        follower = RunnerFollower(client, "servers", 0.2, decode_runner, listed.table)
+        watcher = RunnerFollower(client, "servers", 0.2, decode_runner, listed.table)
         names = [f"i-{number}" for number in range(50)]
         for name in names:
             objects.put("servers", name, make_entry(OLD))
@@ -360,7 +362,7 @@
             return len(listed.find(now=math.inf))
 
         async with anyio.create_task_group() as group:
-            await follower.start(group)
+            await watcher.start(group)
             await wait_until(lambda: count() == 49)
             for name in names:
                 objects.put("servers", name, {"state": "ready"})
@@ -368,4 +370,4 @@
             for name in names:
                 objects.put("servers", name, make_entry(OLD))
             await wait_until(lambda: count() == 50)
-            await follower.close()
+            await watcher.close()
--- a/knapweedrail/tests/test_relay_patches.py
+++ b/knapweedrail/tests/test_relay_patches.py
@@ -1,4 +1,4 @@
-"""Differences between two JSON values."""
+"""Patches between two JSON values."""
 
 import pytest
 from hypothesis import given
@@ -18,20 +18,20 @@
 
 
 @given(VALUES, VALUES)
-def test_a_patch_makes_the_new_value_and_leaves_the_old_one(old, new):
-    """Guards against a configuration at some relays that nobody wrote."""
+def test_patch_yields_new_value_and_keeps_old_one(old, new):
+    """Guards against a configuration at some relays that was never written."""
     before = repr(old)
     assert is_same(apply_patch(old, make_patch(old, new)), new)
     assert repr(old) == before
 
 
-def test_a_truth_value_is_not_a_number():
-    """Guards against a field that changes its type unnoticed."""
+def test_booleans_differ_from_numbers():
+    """Guards against a change of a field's type that isn't detected."""
     assert apply_patch({"a": 1}, make_patch({"a": 1}, {"a": True}))["a"] is True
 
 
-def test_one_route_of_many_is_a_small_difference():
-    """Guards against whole configurations over small links."""
+def test_patch_of_one_route_among_many_is_small():
+    """Guards against sending whole configurations over slow links."""
     routes = [{"name": f"r-{n}", "padding": "x" * 100} for n in range(1000)]
     changed = [*routes[:500], {"name": "new"}, *routes[500:]]
     assert len(repr(make_patch({"routes": routes}, {"routes": changed}))) < 200
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize(
     "patch", [["fields", {"a": ["items", {"0": ["value", 1]}]}, []], ["what"], "x", []]
 )
-def test_a_patch_of_another_value_is_told_from_a_sound_one(patch):
-    """Guards against half of a difference that is taken in."""
+def test_patch_of_another_value_is_rejected(patch):
+    """Guards against applying a part of a patch."""
     with pytest.raises(ValueError):
         apply_patch({"b": []}, patch)
