--- a/knapweedrail/tests/test_relay_lives.py
+++ b/knapweedrail/tests/test_relay_lives.py
@@ -359,7 +359,7 @@
     crashes = []
     note_crash = Suspects.note_crash
 
-    def record_crash(suspects, runner, now):
+    def capture_crash(suspects, runner, now):
         crashes.append((runner, note_crash(suspects, runner, now)))
         return crashes[-1][1]
 
@@ -367,7 +367,7 @@
         watched.write("i-0", NEW, address="127.0.0.1:1")
         return False
 
-    monkeypatch.setattr(Suspects, "note_crash", record_crash)
+    monkeypatch.setattr(Suspects, "note_crash", capture_crash)
     runner = ScriptedRunner(break_off)
     route = make_route(Repetition.SAFE)
     async with run_relay(make_configuration(route), runner) as relay:
