--- a/knapweedrail/relay/attempts.py
+++ b/knapweedrail/relay/attempts.py
@@ -10,10 +10,10 @@
 import attrs
 
 from ..events import Event, log_event
-from .calls import Answered, AttemptFailed, FailureKind, RequestContext
 from .codecs import Headers
 from .connections import ConnectionFailed, RunnerConnection
 from .models import RunnerAnswer
+from .request_context import Answered, AttemptFailed, FailureKind, RequestContext
 from .selection import find_shared_part
 from .streams import EventSplitter
 from .views import RunnerView
@@ -464,13 +464,13 @@
                 limit=update.rate,
                 request=context.request.identity,
             )
-            context.services.tell_limit(update)
+            context.services.send_limit(update)
 
     def _record_rejection(self, answer: RunnerAnswer) -> None:
         if answer.status == MISDIRECTED:
             self._record_failure(certain=True)
             if answer.runner is not None:
-                self._context.services.note_successor(self._view.runner, answer.runner)
+                self._context.services.report_mismatch(self._view.runner, answer.runner)
         else:
             self._context.services.runners.note_full(self._view, time.monotonic())
 
@@ -485,7 +485,7 @@
         lines = services.suspects.note_crash(incarnation, now)
         if lines:
             log_event(Event.RUNNER_CRASHED, runner=incarnation, suspects=len(lines))
-            services.tell_suspects(lines)
+            services.send_suspects(lines)
 
     def _record_unresponsive(self) -> None:
         if self._context.services.runners.note_silence(self._view, time.monotonic()):
--- a/knapweedrail/relay/closings.py
+++ b/knapweedrail/relay/closings.py
@@ -10,10 +10,10 @@
 
 from ..events import Event, log_event
 from ..outcomes import Refusal, RefusalKind
-from .calls import Answered
-from .exchanges import Broken
+from .forwarding import Broken
 from .models import CallerRequest, Route
 from .refusals import refuse_stopping
+from .request_context import Answered
 from .shutdowns import AnswerDurations, Shutdown
 
 
--- a/knapweedrail/relay/daemons.py
+++ b/knapweedrail/relay/daemons.py
@@ -14,7 +14,6 @@
 from ..events import Event, log_event
 from ..limits import LimitNews
 from ..servers import HttpServer, ServerLimits
-from .calls import Services
 from .codecs import Codec
 from .connections import ConnectionPool
 from .dialers import GrpcDialer
@@ -30,7 +29,8 @@
 from .news import NewsFeed
 from .options import RelaySettings
 from .pressure import Pressure
-from .retries import RetryShare
+from .request_context import Services
+from .retries import RetryBudget
 from .shutdowns import Shutdown
 from .signals import Signal
 from .sources import NewsTiming
@@ -159,7 +159,7 @@
             codec=codec,
             pool=self._pool,
             runners=runners.table,
-            retries=RetryShare(
+            retry_budget=RetryBudget(
                 settings.retry_ratio,
                 settings.retry_reserve,
                 settings.retry_window_seconds,
@@ -168,11 +168,11 @@
             rng=random.Random(),
             measures=measures,
             suspects=self._suspects,
-            tell_suspects=self._tell_suspects,
+            send_suspects=self._tell_suspects,
             pressure=self._pressure,
             count_relays=lambda: self._membership.count,
-            note_successor=self._successors.note,
-            tell_limit=self._queue_limit,
+            report_mismatch=self._successors.note,
+            send_limit=self._queue_limit,
         )
         self._gateway = Gateway(services, configuration, self._holdings)
         self._caller_server = HttpServer(
@@ -236,7 +236,7 @@
         self._gateway.closing.begin(shutdown)
         log_event(
             Event.ROUTER_STOPPING,
-            under_way=self._gateway.under_way,
+            under_way=self._gateway.active_requests,
             noticed_after=round(time.monotonic() - requested_at, 4),
             ends_after=round(shutdown.answers_due_at - requested_at, 4),
         )
@@ -261,7 +261,7 @@
             await self._peer_server.close()
         self._measures.close()
         self._store.log_call_counts()
-        log_event(Event.ROUTER_STOPPED, left=self._gateway.under_way)
+        log_event(Event.ROUTER_STOPPED, left=self._gateway.active_requests)
 
     def _add_gauges(self, count_dropped: Callable[[], int]) -> None:
         add = self._measures.add_gauge
--- a/knapweedrail/relay/exchanges.py
+++ b/knapweedrail/relay/forwarding.py
@@ -11,9 +11,9 @@
 from ..events import Event, log_event
 from ..outcomes import Ran, Refusal, RefusalKind
 from .attempts import Attempt
-from .calls import Answered, AttemptFailed, FailureKind, RequestContext
 from .models import Route, RunnerLife
 from .patience import find_wait, plan_return
+from .request_context import Answered, AttemptFailed, FailureKind, RequestContext
 from .reservations import Reservation
 from .selection import choose_runner
 from .views import RunnerView
@@ -260,7 +260,9 @@
         ):
             return False
         name = context.endpoint.name
-        allowed = services.retries.take(name, services.count_relays(), time.monotonic())
+        allowed = services.retry_budget.try_acquire(
+            name, services.count_relays(), time.monotonic()
+        )
         services.measures.repeats.add(1, {"endpoint": name, "allowed": allowed})
         return allowed
 
--- a/knapweedrail/relay/gateway.py
+++ b/knapweedrail/relay/gateway.py
@@ -10,10 +10,9 @@
 
 from ..events import Event, log_event
 from ..outcomes import Ran, Refusal, RefusalKind
-from .calls import Answered, RequestContext, Services
 from .closings import Closing, took_its_time
-from .exchanges import Broken, RequestForwarder, draw_retry_after
 from .followers import ConfigurationFollower
+from .forwarding import Broken, RequestForwarder, draw_retry_after
 from .holdings import Holdings
 from .models import Account, CallerRequest, Malformed, Route
 from .refusals import (
@@ -27,6 +26,7 @@
     refuse_unknown,
 )
 from .request_bodies import CallerDisconnected, Receive, receive_body
+from .request_context import Answered, RequestContext, Services
 from .reservations import Reservation, Shortage
 from .response_writer import ResponseWriter, Send
 from .routes import RouteTable, choose_endpoint
@@ -56,7 +56,7 @@
         holdings: Prepaid tokens that this relay holds.
 
     Attributes:
-        under_way: Number of requests in progress.
+        active_requests: Number of requests in progress.
         last_request_at: Arrival of the latest request, monotonic seconds.
         closing: Admission of requests while the process shuts down.
     """
@@ -70,7 +70,7 @@
         self._services = services
         self._configuration = configuration
         self._holdings = holdings
-        self.under_way = 0
+        self.active_requests = 0
         self.last_request_at = float("-inf")
         self.closing = Closing(services.rng)
 
@@ -78,7 +78,7 @@
         """Handle one request."""
         if scope["type"] != "http":
             return
-        self.under_way += 1
+        self.active_requests += 1
         self.last_request_at = time.monotonic()
         response = ResponseWriter(send, self._should_close_connections)
         try:
@@ -97,7 +97,7 @@
                 log_event(Event.REQUEST_CUT_OFF, path=scope["path"])
             raise
         finally:
-            self.under_way -= 1
+            self.active_requests -= 1
 
     def _should_close_connections(self) -> bool:
         """Return whether callers should reconnect, which leads them to another host."""
@@ -216,7 +216,7 @@
             )
             await self._refuse(response, request.identity, refusal)
             return
-        self._services.retries.note_fresh(endpoint_name, time.monotonic())
+        self._services.retry_budget.record_request(endpoint_name, time.monotonic())
         account_name = account.name if account else ""
         fingerprint = make_fingerprint(
             account_name, request.method, request.target, body
--- a/knapweedrail/relay/refusals.py
+++ b/knapweedrail/relay/refusals.py
@@ -5,7 +5,7 @@
 import random
 
 from ..outcomes import Ran, Refusal, RefusalKind
-from .exchanges import draw_retry_after
+from .forwarding import draw_retry_after
 from .pressure import Pressure
 
 HTTP_STATUSES = {
--- a/knapweedrail/relay/calls.py
+++ b/knapweedrail/relay/request_context.py
@@ -17,7 +17,7 @@
 from .models import CallerRequest, Endpoint, Route, Runner, RunnerAnswer
 from .pressure import Pressure
 from .response_writer import ResponseWriter
-from .retries import RetryShare
+from .retries import RetryBudget
 from .routes import Priorities
 from .runners import RunnerTable
 from .streams import StreamProgress
@@ -74,31 +74,31 @@
         codec: Encodes requests and decodes answers of the platform's protocol.
         pool: Connections to runners.
         runners: Known runners and their state.
-        retries: Retry budget of this relay.
+        retry_budget: Retry budget of this relay.
         data_centre: Name of this host's data centre.
         suspects: Requests that may crash runners.
-        tell_suspects: Sends lines about suspects to the other relays.
+        send_suspects: Sends lines about suspects to the other relays.
         pressure: Load of this host.
         count_relays: Returns the number of relays.
-        note_successor: Reports that a runner's address now belongs to the runner of
+        report_mismatch: Reports that a runner's address now belongs to the runner of
             the given name.
-        tell_limit: Sends a runner's rate limit to the other relays.
+        send_limit: Sends a runner's rate limit to the other relays.
         unknown_headers: Logs unknown headers of runners' answers.
     """
 
     codec: Codec
     pool: ConnectionPool
     runners: RunnerTable
-    retries: RetryShare
+    retry_budget: RetryBudget
     data_centre: str
     rng: random.Random
     measures: RelayMeasures
     suspects: Suspects
-    tell_suspects: Callable[[list[str]], None]
+    send_suspects: Callable[[list[str]], None]
     pressure: Pressure
     count_relays: Callable[[], int]
-    note_successor: Callable[[Runner, str], None]
-    tell_limit: Callable[[LimitNews], None] = lambda news: None
+    report_mismatch: Callable[[Runner, str], None]
+    send_limit: Callable[[LimitNews], None] = lambda news: None
     unknown_headers: UnknownHeaderLog = attrs.field(factory=UnknownHeaderLog)
 
 
--- a/knapweedrail/relay/retries.py
+++ b/knapweedrail/relay/retries.py
@@ -12,7 +12,7 @@
 late, and the operator's counting windows begin at other times than this one."""
 
 
-class RetryShare:
+class RetryBudget:
     """One relay's share of the retries that all relays together may make.
 
     It prevents retry storms. When runners fail under overload, each retry adds to the
@@ -32,7 +32,7 @@
         self._requests: dict[str, deque[float]] = {}
         self._retries: dict[str, deque[float]] = {}
 
-    def note_fresh(self, endpoint: str, now: float) -> None:
+    def record_request(self, endpoint: str, now: float) -> None:
         """Count a new request to an endpoint.
 
         Args:
@@ -41,7 +41,7 @@
         """
         self._requests.setdefault(endpoint, deque()).append(now)
 
-    def take(self, endpoint: str, relays: int, now: float) -> bool:
+    def try_acquire(self, endpoint: str, relays: int, now: float) -> bool:
         """Use one retry if the budget allows it.
 
         Args:
--- a/knapweedrail/tests/relays_in_memory.py
+++ b/knapweedrail/tests/relays_in_memory.py
@@ -14,7 +14,6 @@
 
 from ..outcomes import Unavailable, Unknown
 from ..platform.requests import PlatformCodec
-from ..relay.calls import Services
 from ..relay.connections import ConnectionPool
 from ..relay.followers import ConfigurationFollower
 from ..relay.gateway import Gateway
@@ -35,7 +34,8 @@
 )
 from ..relay.neighbours import Neighbours
 from ..relay.pressure import Pressure
-from ..relay.retries import RetryShare
+from ..relay.request_context import Services
+from ..relay.retries import RetryBudget
 from ..relay.runners import RunnerTable
 from ..relay.stores import (
     Conflict,
@@ -57,10 +57,10 @@
     """In-memory store with fault injection.
 
     Attributes:
-        fates: Results of the next writes, in order: ``"answer"`` (normal),
+        write_results: Results of the next writes, in order: ``"answer"`` (normal),
             ``"lose"`` (applied, reply lost), ``"drop"`` (not applied, no reply) or
             ``"away"`` (store unavailable). Normal after the last.
-        away: Whether all calls fail because the store can't be reached.
+        unavailable: Whether all calls fail because the store can't be reached.
         writes: Number of applied writes.
         conflicts: Number of writes rejected for their revision.
         peeks: Number of calls of `peek`.
@@ -70,15 +70,15 @@
     def __init__(self) -> None:
         self.objects: dict[tuple[str, str], StoredObject] = {}
         self.revision = 1
-        self.fates: list[str] = []
-        self.away = False
+        self.write_results: list[str] = []
+        self.unavailable = False
         self.writes = 0
         self.conflicts = 0
         self.peeks = 0
         self.stale: dict[tuple[str, str], StoredObject] = {}
 
     async def list_kind(self, kind: str, stale: bool = False) -> Listing | Unavailable:
-        if self.away:
+        if self.unavailable:
             return Unavailable("list", "store", "away")
         found = [o for (k, _), o in self.objects.items() if k == kind]
         return Listing(tuple(found), self.revision)
@@ -89,7 +89,7 @@
 
     async def peek(self, kind: str, name: str) -> Any:
         self.peeks += 1
-        if self.away:
+        if self.unavailable:
             return Unavailable("peek", "store", "away")
         known = self.stale.get((kind, name)) or self.objects.get((kind, name))
         return copy.deepcopy(known) if known else Missing()
@@ -101,7 +101,7 @@
         return await self._write(kind, name, spec, revision)
 
     async def delete(self, kind: str, name: str) -> Any:
-        if self.away:
+        if self.unavailable:
             return Unavailable("delete", "store", "away")
         self.objects.pop((kind, name), None)
         return Written(0)
@@ -117,8 +117,8 @@
         self, kind: str, name: str, spec: Any, revision: int | None
     ) -> Any:
         await anyio.sleep(0)
-        result = self.fates.pop(0) if self.fates else "answer"
-        if self.away or result == "away":
+        result = self.write_results.pop(0) if self.write_results else "answer"
+        if self.unavailable or result == "away":
             return Unavailable("write", "store", "away")
         if result == "drop":
             return Unknown("write", "store", "no answer")
@@ -205,7 +205,7 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-async def answer_well(stream: anyio.abc.SocketStream, head: str) -> bool:
+async def answer_normally(stream: anyio.abc.SocketStream, head: str) -> bool:
     """Answer like a healthy runner; a `ScriptedRunner.respond` function."""
     await stream.send(make_answer(head))
     return True
@@ -263,12 +263,12 @@
 
 @attrs.define
 class Answer:
-    """Response that a caller received; ``whole`` says whether its end was sent."""
+    """Response that a caller received; ``complete`` says whether its end was sent."""
 
     status: int = 0
     headers: dict[str, str] = attrs.field(factory=dict)
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
 
 
 @attrs.define
@@ -288,16 +288,16 @@
         path: str = "/a/x",
         method: str = "POST",
         body: bytes = b"hello",
-        leaves_after: float | None = None,
-        body_takes: float = 0.0,
+        disconnects_after: float | None = None,
+        body_delay: float = 0.0,
         **headers: str,
     ) -> Answer:
         """Send one request as a caller does.
 
         Args:
-            leaves_after: Time until the caller disconnects, seconds; ``None`` to
+            disconnects_after: Time until the caller disconnects, seconds; ``None`` to
                 stay connected.
-            body_takes: Time until the body arrives, seconds.
+            body_delay: Time until the body arrives, seconds.
             headers: Further headers, with underscores for hyphens.
         """
         sent = {
@@ -321,12 +321,12 @@
         async def receive() -> dict[str, Any]:
             nonlocal body_sent
             if not body_sent:
-                await anyio.sleep(body_takes)
+                await anyio.sleep(body_delay)
                 body_sent = True
                 return {"type": "http.request", "body": body, "more_body": False}
-            if leaves_after is None:
+            if disconnects_after is None:
                 await anyio.sleep_forever()
-            await anyio.sleep(leaves_after)
+            await anyio.sleep(disconnects_after)
             return {"type": "http.disconnect"}
 
         async def send(message: dict[str, Any]) -> None:
@@ -337,7 +337,7 @@
                 }
                 return
             answer.body += message.get("body", b"")
-            answer.whole = not message.get("more_body", False)
+            answer.complete = not message.get("more_body", False)
 
         await self.gateway(scope, receive, send)
         return answer
@@ -376,15 +376,15 @@
         codec=codec,
         pool=pool,
         runners=table,
-        retries=RetryShare(1.0, 100.0, 10.0),
+        retry_budget=RetryBudget(1.0, 100.0, 10.0),
         data_centre="dc",
         rng=random.Random(1),
         measures=RelayMeasures(),
         suspects=Suspects(),
-        tell_suspects=lambda lines: None,
+        send_suspects=lambda lines: None,
         pressure=Pressure(),
         count_relays=lambda: 1,
-        note_successor=successors.note,
+        report_mismatch=successors.note,
     )
     gateway = Gateway(services, follower, holdings)
     async with anyio.create_task_group() as group:
--- a/knapweedrail/tests/test_explain.py
+++ b/knapweedrail/tests/test_explain.py
@@ -52,7 +52,7 @@
     """All relays are cut off from the store, and one has too few tokens."""
     route = make_route(Repetition.STREAM)
     async with run_relay(make_configuration(route, prepaid=1000)) as relay:
-        relay.store.away = True
+        relay.store.unavailable = True
         await relay.call(knapweedrail_token_usage="900,50")
     told = tell(lines)
     assert "needs 950 tokens of farm" in told
--- a/knapweedrail/tests/test_relay_deployments.py
+++ b/knapweedrail/tests/test_relay_deployments.py
@@ -6,7 +6,7 @@
 from ..relay.models import Endpoint, Repetition, Share
 from .relays_in_memory import (
     ScriptedRunner,
-    answer_well,
+    answer_normally,
     find_header,
     make_configuration,
     make_route,
@@ -20,7 +20,7 @@
 
 
 async def test_deployment_without_accounts_needs_no_keys():
-    runner = ScriptedRunner(answer_well)
+    runner = ScriptedRunner(answer_normally)
     configuration = attrs.evolve(make_configuration(SAFE), accounts=None)
     async with run_relay(configuration, runner) as relay:
         answer = await relay.call(knapweedrail_key="whatever")
@@ -29,7 +29,7 @@
 
 
 async def test_public_route_ignores_keys_and_tenant_header():
-    runner = ScriptedRunner(answer_well)
+    runner = ScriptedRunner(answer_normally)
     route = make_route(Repetition.SAFE, needs_key=False)
     async with run_relay(make_configuration(route), runner) as relay:
         answer = await relay.call(knapweedrail_tenant="farm")
@@ -38,7 +38,9 @@
 
 
 async def test_accounts_without_a_budget_are_not_limited():
-    async with run_relay(make_configuration(SAFE), ScriptedRunner(answer_well)) as r:
+    async with run_relay(
+        make_configuration(SAFE), ScriptedRunner(answer_normally)
+    ) as r:
         answer = await r.call(knapweedrail_token_usage="1000000000,1000000000")
         assert r.store.objects.keys() == {("config", "main")}
     assert answer.status == 200
@@ -52,7 +54,7 @@
 
 
 async def test_route_split_over_three_endpoints_reaches_all():
-    runners = [ScriptedRunner(answer_well) for _ in range(3)]
+    runners = [ScriptedRunner(answer_normally) for _ in range(3)]
     shares = tuple(Share(name, 1.0) for name in ("e", "f", "g"))
     configuration = make_configuration(make_route(Repetition.SAFE, shares=shares))
     endpoints = {
@@ -75,13 +77,15 @@
 async def test_single_relay_can_reserve_most_of_the_budget():
     """The only relay must be able to reserve most of the remaining budget."""
     configuration = make_configuration(SAFE, prepaid=1000)
-    async with run_relay(configuration, ScriptedRunner(answer_well)) as relay:
+    async with run_relay(configuration, ScriptedRunner(answer_normally)) as relay:
         answer = await relay.call(knapweedrail_token_usage="700,200")
     assert answer.status == 200
 
 
 async def test_request_without_identity_is_malformed():
-    async with run_relay(make_configuration(SAFE), ScriptedRunner(answer_well)) as r:
+    async with run_relay(
+        make_configuration(SAFE), ScriptedRunner(answer_normally)
+    ) as r:
         answer = await r.call(knapweedrail_request_id="")
     assert answer.status == 400
 
@@ -89,7 +93,7 @@
 async def test_unparsable_request_headers_are_ignored():
     """Token usage, deadline, prompt prefix and event ID that can't be parsed are
     treated as missing."""
-    runner = ScriptedRunner(answer_well)
+    runner = ScriptedRunner(answer_normally)
     async with run_relay(make_configuration(SAFE, prepaid=10), runner) as relay:
         answer = await relay.call(
             knapweedrail_token_usage="many,few",
--- a/knapweedrail/tests/test_relay_door.py
+++ b/knapweedrail/tests/test_relay_door.py
@@ -11,7 +11,7 @@
 from ..servers import HttpServer, ServerLimits
 from .relays_in_memory import (
     ScriptedRunner,
-    answer_well,
+    answer_normally,
     make_configuration,
     make_route,
     run_relay,
@@ -28,7 +28,7 @@
 
 @contextlib.asynccontextmanager
 async def run_server():
-    runner = ScriptedRunner(answer_well)
+    runner = ScriptedRunner(answer_normally)
     configuration = make_configuration(make_route(Repetition.SAFE))
     async with run_relay(configuration, runner) as relay:
         async with anyio.create_task_group() as group:
@@ -159,7 +159,7 @@
     """A caller with an open connection sends a request four seconds after the relay was
     asked to shut down. It was admitted, the grace period ended during its answer, and
     the caller got an incomplete answer."""
-    runner = ScriptedRunner(answer_well)
+    runner = ScriptedRunner(answer_normally)
     route = make_route(Repetition.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
         relay.gateway.closing.begin(Shutdown(time.monotonic(), 8.0))
@@ -177,7 +177,7 @@
     """A caller sends a request while the relay closes connections at the end of a
     shutdown. If it were forwarded, it would run without an answer to the caller, whose
     retry would run it a second time."""
-    runner = ScriptedRunner(answer_well)
+    runner = ScriptedRunner(answer_normally)
     route = make_route(Repetition.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
         relay.gateway.closing.begin(Shutdown(time.monotonic(), 8.0))
--- a/knapweedrail/tests/test_relay_draws.py
+++ b/knapweedrail/tests/test_relay_draws.py
@@ -110,7 +110,7 @@
     async def scenario(harness):
         await harness.draw(1000)
         former = harness.stored
-        harness.store.fates = [fate]
+        harness.store.write_results = [fate]
         planned = harness.holding.ledger.copy()
         planned.grants["host/1"] = Grant(0, 0)
         assert not await harness.updater.write(harness.holding, planned)
@@ -142,7 +142,7 @@
 
     async def scenario(harness):
         await harness.draw(1000)
-        harness.store.away = True
+        harness.store.unavailable = True
         harness.expire_view()
         assert not await harness.updater._peek(harness.holding)
         assert not harness.updater.reachable
--- a/knapweedrail/tests/test_relay_exchanges.py
+++ b/knapweedrail/tests/test_relay_exchanges.py
@@ -11,7 +11,7 @@
 from .relays_in_memory import (
     WATCH_SECONDS,
     ScriptedRunner,
-    answer_well,
+    answer_normally,
     find_header,
     make_answer,
     make_chunk,
@@ -38,11 +38,11 @@
 
 
 async def test_answer_is_passed_on_unchanged():
-    runner = ScriptedRunner(answer_well)
+    runner = ScriptedRunner(answer_normally)
     async with run_relay(make_configuration(SAFE), runner) as relay:
         answer = await relay.call()
         again = await relay.call()
-    assert (answer.status, answer.body, answer.whole) == (200, b"ok", True)
+    assert (answer.status, answer.body, answer.complete) == (200, b"ok", True)
     assert answer.headers["knapweedrail-response-seal"] == "s"
     assert again.status == 200
     head = runner.heads[0]
@@ -126,7 +126,7 @@
     async def close_connection(stream, head):
         return False
 
-    runners = ScriptedRunner(close_connection), ScriptedRunner(answer_well)
+    runners = ScriptedRunner(close_connection), ScriptedRunner(answer_normally)
     async with run_relay(make_configuration(SAFE), *runners) as relay:
         answers = [await relay.call() for _ in range(5)]
     assert {answer.status for answer in answers} == {200}
@@ -139,7 +139,7 @@
         await stream.send(make_answer(head, b"", 503, Knapweedrail_Not_Executed="1"))
         return True
 
-    runners = ScriptedRunner(reject), ScriptedRunner(answer_well)
+    runners = ScriptedRunner(reject), ScriptedRunner(answer_normally)
     async with run_relay(make_configuration(ONCE), *runners) as relay:
         answers = [await relay.call() for _ in range(4)]
     assert {answer.status for answer in answers} == {200}
@@ -162,7 +162,7 @@
 async def test_failed_connection_does_not_count_as_attempt():
     """A runner has crashed but is still listed. Nothing was sent to it, so even a
     non-repeatable request goes to another runner."""
-    runner = ScriptedRunner(answer_well)
+    runner = ScriptedRunner(answer_normally)
     async with run_relay(make_configuration(ONCE), runner) as relay:
         from .relays_in_memory import make_runner
 
@@ -197,7 +197,7 @@
     runners = ScriptedRunner(break_mid_event), ScriptedRunner(break_mid_event)
     async with run_relay(make_configuration(STREAM), *runners) as relay:
         answer = await relay.call()
-    assert answer.whole
+    assert answer.complete
     assert answer.body == b"".join(map(make_event, (1, 2, 3)))
 
 
@@ -216,7 +216,7 @@
     async with run_relay(make_configuration(STREAM), *runners) as relay:
         with anyio.fail_after(2.0):
             answer = await relay.call()
-    assert answer.whole
+    assert answer.complete
     assert answer.body == b"".join(map(make_event, (1, 2, 3)))
 
 
@@ -232,7 +232,7 @@
     async with run_relay(make_configuration(NON_RESUMABLE_STREAM), runners[0]) as relay:
         answer = await relay.call()
     assert answer.body == make_event(1)
-    assert not answer.whole
+    assert not answer.complete
 
 
 async def test_caller_disconnect_closes_the_runner_connection():
@@ -248,7 +248,7 @@
         return False
 
     async with run_relay(make_configuration(SAFE), ScriptedRunner(run_long)) as relay:
-        await relay.call(leaves_after=0.05)
+        await relay.call(disconnects_after=0.05)
         with anyio.fail_after(0.4):
             await ended.wait()
 
@@ -271,7 +271,9 @@
 async def test_unknown_key_or_route_is_final_only_with_a_confirmed_configuration():
     """A relay that can't reach the store may lack a new key. Refusing the key as
     unknown would be final for the caller, and wrong."""
-    async with run_relay(make_configuration(SAFE), ScriptedRunner(answer_well)) as r:
+    async with run_relay(
+        make_configuration(SAFE), ScriptedRunner(answer_normally)
+    ) as r:
         assert (await r.call(knapweedrail_key="other")).status == 401
         assert (await r.call(path="/b/x")).status == 404
         r.configuration.confirmed_at = float("-inf")
@@ -283,7 +285,9 @@
 async def test_unknown_key_is_final_only_within_the_confirmation_interval(late, status):
     """Guards against final refusals by a relay whose watch no longer gets updates from
     the store."""
-    async with run_relay(make_configuration(SAFE), ScriptedRunner(answer_well)) as r:
+    async with run_relay(
+        make_configuration(SAFE), ScriptedRunner(answer_normally)
+    ) as r:
         r.configuration.confirmed_at = time.monotonic() - WATCH_SECONDS - late
         assert (await r.call(knapweedrail_key="other")).status == status
 
@@ -323,7 +327,7 @@
     configuration = make_configuration(STREAM, prepaid=1000)
     runner = ScriptedRunner(stream_three_events)
     async with run_relay(configuration, runner) as relay:
-        relay.store.away = True
+        relay.store.unavailable = True
         await anyio.sleep(0.05)
         with anyio.fail_after(0.6):
             answer = await relay.call(knapweedrail_token_usage="900,50")
@@ -343,7 +347,7 @@
 
     configuration = make_configuration(STREAM, prepaid=1000)
     async with run_relay(configuration, ScriptedRunner(run_long)) as relay:
-        await relay.call(knapweedrail_token_usage="100,50", leaves_after=0.1)
+        await relay.call(knapweedrail_token_usage="100,50", disconnects_after=0.1)
         position = relay.holdings._get("farm").allowance.position
     assert position.spent == 100
     assert position.reserved == 0
@@ -372,7 +376,7 @@
     """Many callers send the same request, and runners occasionally crash while they run
     it. Without clearing the suspicion after a success, three such crashes would block
     the request for an hour."""
-    runner = ScriptedRunner(answer_well)
+    runner = ScriptedRunner(answer_normally)
     async with run_relay(make_configuration(SAFE), runner) as relay:
         suspects = relay.gateway._services.suspects
         fingerprint = make_fingerprint("farm", "POST", b"/a/x", b"hello")
@@ -399,7 +403,7 @@
     async with run_relay(
         make_configuration(ONCE), ScriptedRunner(wait_for_end)
     ) as relay:
-        await relay.call(leaves_after=0.05)
+        await relay.call(disconnects_after=0.05)
         await anyio.sleep(0.1)
     assert ends == [anyio.BrokenResourceError]
 
@@ -416,7 +420,7 @@
     async with run_relay(
         make_configuration(ONCE), ScriptedRunner(never_answer)
     ) as relay:
-        await relay.call(leaves_after=0.6)
+        await relay.call(disconnects_after=0.6)
         view = relay.table.list_views("e", 0.0)[0]
         assert view.failing > 0
         assert not relay.table.is_rested(view, time.monotonic())
--- a/knapweedrail/tests/test_relay_followers.py
+++ b/knapweedrail/tests/test_relay_followers.py
@@ -269,7 +269,7 @@
     """Guards against calls that wait for an answer lost in an outage of the store, and
     against a probe by each watcher when the store recovers."""
     store = MemoryStore()
-    store.away = True
+    store.unavailable = True
     reach = StoreReach(store, "k", "n")
     abandoned = []
 
@@ -285,7 +285,7 @@
         await anyio.sleep(0.5)
         assert not abandoned
         reads = store.peeks
-        store.away = False
+        store.unavailable = False
     assert abandoned == ["a watch"]
     assert store.peeks == reads + 1
 
--- a/knapweedrail/tests/test_relay_foreign.py
+++ b/knapweedrail/tests/test_relay_foreign.py
@@ -19,7 +19,7 @@
 from .relays_in_memory import (
     MemoryStore,
     ScriptedRunner,
-    answer_well,
+    answer_normally,
     make_configuration,
     make_route,
     run_relay,
@@ -211,7 +211,7 @@
 async def test_answer_in_flight_is_delivered_when_entry_turns_malformed():
     async def respond(stream, head):
         listed.follower.set(listed._store("i-0", "malformed"))
-        return await answer_well(stream, head)
+        return await answer_normally(stream, head)
 
     runner = ScriptedRunner(respond)
     configuration = make_configuration(make_route(Repetition.ONCE))
--- a/knapweedrail/tests/test_relay_isolation.py
+++ b/knapweedrail/tests/test_relay_isolation.py
@@ -13,7 +13,7 @@
 from ..relay.runners import PARTITION_SECONDS, RunnerTable
 from .relays_in_memory import (
     ScriptedRunner,
-    answer_well,
+    answer_normally,
     make_configuration,
     make_route,
     make_runner,
@@ -90,7 +90,7 @@
 
 
 async def test_partitioned_data_centre_with_local_runners_keeps_serving():
-    runner = ScriptedRunner(answer_well)
+    runner = ScriptedRunner(answer_normally)
     async with run_relay(make_configuration(SAFE), runner) as relay:
         relay.table.set_runner(make_runner("east", data_centre="east"))
         relay.table.set_runner(make_runner("west", data_centre="west"))
--- a/knapweedrail/tests/test_relay_lending.py
+++ b/knapweedrail/tests/test_relay_lending.py
@@ -173,7 +173,7 @@
     async with run_fleet(100_000, 3, 3) as fleet:
         for host in fleet.holdings:
             (await fleet.reserve(host, 500)).settle(500)
-        fleet.store.away = True
+        fleet.store.unavailable = True
         for host in fleet.holdings:
             assert isinstance(await fleet.reserve(host, 500), Reservation), host
         result = await fleet.reserve("h-0-0", 90_000)
@@ -274,10 +274,10 @@
     and wait."""
     async with run_fleet(100_000, 1) as fleet:
         (await fleet.reserve("h-0-0", 10)).settle(10)
-        fleet.store.fates = ["drop"] * 500
+        fleet.store.write_results = ["drop"] * 500
         for _ in range(50):
             assert isinstance(await fleet.reserve("h-0-0", 90_000), Shortage)
-        assert 500 - len(fleet.store.fates) <= 10
+        assert 500 - len(fleet.store.write_results) <= 10
 
 
 def test_refill_pauses_of_relays_drift_apart():
--- a/knapweedrail/tests/test_relay_limits.py
+++ b/knapweedrail/tests/test_relay_limits.py
@@ -13,7 +13,7 @@
 from ..standins.limitfleet import LimitFleet, allow
 from .relays_in_memory import (
     ScriptedRunner,
-    answer_well,
+    answer_normally,
     make_answer,
     make_configuration,
     make_route,
@@ -59,7 +59,7 @@
     """Guards against relays that together send an overloaded runner more requests than
     it accepts."""
     limited = LimitedRunner(1.5, header)
-    runners = ScriptedRunner(limited.respond), ScriptedRunner(answer_well)
+    runners = ScriptedRunner(limited.respond), ScriptedRunner(answer_normally)
     async with contextlib.AsyncExitStack() as stack:
         relays = [
             await stack.enter_async_context(
@@ -247,7 +247,7 @@
 
 async def test_callers_are_refused_at_once_when_every_runner_is_limited():
     """Guards against callers that wait for a limited runner until their deadline."""
-    runner = ScriptedRunner(answer_well)
+    runner = ScriptedRunner(answer_normally)
     async with run_relay(make_configuration(SAFE), runner) as relay:
         view = relay.table.list_views("e", 0.0)[0]
         view.limit_record.note_named(0.5, time.monotonic(), random.Random(1))
--- a/knapweedrail/tests/test_relay_lives.py
+++ b/knapweedrail/tests/test_relay_lives.py
@@ -14,7 +14,7 @@
 from .relays_in_memory import (
     MemoryStore,
     ScriptedRunner,
-    answer_well,
+    answer_normally,
     make_answer,
     make_configuration,
     make_route,
@@ -279,7 +279,7 @@
 
     async def respond(self, stream, head):
         self.connections.append(id(stream))
-        return await answer_well(stream, head)
+        return await answer_normally(stream, head)
 
 
 async def test_new_incarnation_gets_new_connections():
@@ -338,7 +338,7 @@
         if len(runner.heads) == 1:
             watched.write("i-0", NEW, address=runner.address)
             return False
-        return await answer_well(stream, head)
+        return await answer_normally(stream, head)
 
     runner = ScriptedRunner(respond)
     async with run_relay(
--- a/knapweedrail/tests/test_relay_patience.py
+++ b/knapweedrail/tests/test_relay_patience.py
@@ -163,7 +163,7 @@
 
             async def call_and_give_up():
                 usage = {"knapweedrail_token_usage": "100,10"}
-                await relay.call(leaves_after=2.0, **PROMPT, **usage)
+                await relay.call(disconnects_after=2.0, **PROMPT, **usage)
 
             group.start_soon(call_and_give_up)
             while not runner.heads:
--- a/knapweedrail/tests/test_relay_pressure.py
+++ b/knapweedrail/tests/test_relay_pressure.py
@@ -11,7 +11,7 @@
 from ..relay.pressure import MIN_OUT_OF_ROTATION_SECONDS, TICK_SECONDS, Pressure
 from .relays_in_memory import (
     ScriptedRunner,
-    answer_well,
+    answer_normally,
     make_configuration,
     make_route,
     run_relay,
@@ -121,7 +121,7 @@
     the next requests would be refused as if all runners were full."""
     route = make_route(Repetition.SAFE)
     async with run_relay(
-        make_configuration(route), ScriptedRunner(answer_well)
+        make_configuration(route), ScriptedRunner(answer_normally)
     ) as relay:
         view = relay.table.list_views("e", 0.0)[0]
         relay.gateway._services.pressure._fast_delay = 0.1
@@ -136,7 +136,7 @@
 async def test_overload_refusal_closes_the_connection_and_sets_retry_after():
     route = make_route(Repetition.ONCE)
     async with run_relay(
-        make_configuration(route), ScriptedRunner(answer_well)
+        make_configuration(route), ScriptedRunner(answer_normally)
     ) as relay:
         relay.gateway._services.pressure._fast_delay = 60.0
         relay.gateway._services.rng.seed(3)
@@ -163,7 +163,7 @@
     monkeypatch.setattr(connections, "CONNECT_SECONDS", 0.0)
     route = make_route(Repetition.SAFE)
     async with run_relay(
-        make_configuration(route), ScriptedRunner(answer_well)
+        make_configuration(route), ScriptedRunner(answer_normally)
     ) as relay:
         view = relay.table.list_views("e", 0.0)[0]
         services = relay.gateway._services
@@ -183,7 +183,7 @@
     connection instead of the refusal with its retry time."""
     route = make_route(Repetition.ONCE)
     async with run_relay(
-        make_configuration(route), ScriptedRunner(answer_well)
+        make_configuration(route), ScriptedRunner(answer_normally)
     ) as relay:
         relay.gateway._services.pressure._fast_delay = 60.0
         receive_body = gateway.receive_body
--- a/knapweedrail/tests/test_relay_process.py
+++ b/knapweedrail/tests/test_relay_process.py
@@ -16,7 +16,7 @@
 from ..standins.objects import ObjectStore
 from .relays_in_memory import (
     ScriptedRunner,
-    answer_well,
+    answer_normally,
     make_chunk,
     make_event,
     make_stream_head,
@@ -160,7 +160,7 @@
     """Guards against refusals of callers by all hosts when these start together."""
     headers = make_headers(1)
     del headers["knapweedrail-token-usage"]
-    run = run_process(tmp_path, answer_well, delay=STORE_DELAY_SECONDS)
+    run = run_process(tmp_path, answer_normally, delay=STORE_DELAY_SECONDS)
     async with run as (_, relay, client):
         answer = None
         with anyio.fail_after(20):
@@ -171,7 +171,7 @@
 
 
 async def test_process_answers_exports_metrics_and_logs(tmp_path):
-    async with run_process(tmp_path, answer_well) as (objects, relay, client):
+    async with run_process(tmp_path, answer_normally) as (objects, relay, client):
         objects.put("servers", "i-2", make_entry(slots=-8))
         answer = await client.post(f"{relay.url}/a/x", headers=make_headers(1))
         refused = await client.post(
@@ -280,7 +280,7 @@
 async def test_tokens_of_killed_process_count_as_used(tmp_path):
     """Tokens held by a killed process may have been used, so they count as used, and
     the process that replaces it can't use them again."""
-    async with run_process(tmp_path, answer_well) as (objects, relay, client):
+    async with run_process(tmp_path, answer_normally) as (objects, relay, client):
         await client.post(f"{relay.url}/a/x", headers=make_headers(1))
         os.kill(relay.process.pid, signal.SIGKILL)
         relay.process.wait()
--- a/knapweedrail/tests/test_relay_recovery.py
+++ b/knapweedrail/tests/test_relay_recovery.py
@@ -194,14 +194,14 @@
         host = hosts[0]
         for _ in range(4):
             assert isinstance(await host.use(1000), Reservation)
-        store.away = True
+        store.unavailable = True
         host.clock.advance(4_000)
         served = 0
         for _ in range(10):
             served += isinstance(await host.use(500), Reservation)
         assert served >= 4
         await host.kill()
-        store.away = False
+        store.unavailable = False
         await host.start(group)
         used, _ = await host.use_up(1000)
         assert used + 4000 + 500 * served <= PREPAID
@@ -280,7 +280,7 @@
         assert isinstance(await second.use(10), Reservation)
         second.holdings._updater.schedule_refresh(second.holdings._get(ACCOUNT))
         await anyio.sleep(1.5)
-        store.away = True
+        store.unavailable = True
         assert isinstance(await second.use(2000), Reservation)
 
     await run_hosts(2, scenario)
--- a/knapweedrail/tests/test_relay_selection.py
+++ b/knapweedrail/tests/test_relay_selection.py
@@ -4,7 +4,7 @@
 import random
 
 from ..relay.models import CallerRequest, PromptPart
-from ..relay.retries import RetryShare
+from ..relay.retries import RetryBudget
 from ..relay.runners import RunnerTable
 from ..relay.selection import choose_runner
 from .relays_in_memory import make_runner
@@ -201,17 +201,17 @@
 def test_retries_stay_within_the_share_of_the_relay():
     """All runners fail. Retrying every request would double the load on runners that
     fail because of overload."""
-    share = RetryShare(ratio=0.2, reserve=50.0, window=10.0)
+    share = RetryBudget(ratio=0.2, reserve=50.0, window=10.0)
     allowed = 0
     for n in range(1000):
-        share.note_fresh("e", n * 0.01)
-        allowed += share.take("e", relays=5, now=n * 0.01)
+        share.record_request("e", n * 0.01)
+        allowed += share.try_acquire("e", relays=5, now=n * 0.01)
     assert allowed <= 0.2 * 1000 + 50 / 5
     assert allowed >= 0.7 * (0.2 * 1000 + 50 / 5)
 
 
 def test_retry_budget_refills_over_time():
-    share = RetryShare(ratio=0.0, reserve=10.0, window=10.0)
-    assert sum(share.take("e", 1, 0.0) for _ in range(20)) == 8
-    assert not share.take("e", 1, 9.0)
-    assert share.take("e", 1, 10.5)
+    share = RetryBudget(ratio=0.0, reserve=10.0, window=10.0)
+    assert sum(share.try_acquire("e", 1, 0.0) for _ in range(20)) == 8
+    assert not share.try_acquire("e", 1, 9.0)
+    assert share.try_acquire("e", 1, 10.5)
--- a/knapweedrail/tests/test_relay_shutdown.py
+++ b/knapweedrail/tests/test_relay_shutdown.py
@@ -15,7 +15,7 @@
 import httpx
 import pytest
 
-from .relays_in_memory import answer_well, make_chunk, make_event, make_stream_head
+from .relays_in_memory import answer_normally, make_chunk, make_event, make_stream_head
 from .test_relay_process import make_headers, run_process
 
 pytestmark = pytest.mark.anyio
@@ -29,7 +29,7 @@
 
     async def stream_events(stream, head):
         if " /a/" in head:
-            return await answer_well(stream, head)
+            return await answer_normally(stream, head)
         stream_events.begun.set()
         await stream.send(make_stream_head(head))
         for number in range(1, 11):
@@ -150,7 +150,11 @@
     """The store accepts connections but sends no answers during the shutdown. A process
     that waits for it is killed, and the log doesn't show how the shutdown went."""
     settings = {"stop_seconds": 4}
-    async with run_process(tmp_path, answer_well, settings) as (objects, relay, client):
+    async with run_process(tmp_path, answer_normally, settings) as (
+        objects,
+        relay,
+        client,
+    ):
         headers = make_headers(1)
         assert (await client.post(f"{relay.url}/a/x", headers=headers)).is_success
         objects.misbehaviour.silent = True
--- a/knapweedrail/tests/test_relay_shutdown_limits.py
+++ b/knapweedrail/tests/test_relay_shutdown_limits.py
@@ -123,7 +123,7 @@
     route = make_route(Repetition.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
         relay.gateway.closing.begin(Shutdown(time.monotonic(), 0.3))
-        answer = await relay.call(body_takes=5.0)
+        answer = await relay.call(body_delay=5.0)
     assert answer.status == 503 and b"not run" in answer.body
 
 
@@ -149,7 +149,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(stop_soon, relay.gateway)
             answer = await relay.call()
-    assert answer.status == 502 and answer.whole
+    assert answer.status == 502 and answer.complete
     assert b"outcome-unknown" in answer.body
 
 
@@ -162,7 +162,7 @@
             group.start_soon(stop_soon, relay.gateway)
             answer = await relay.call()
     assert answer.status == 200 and answer.body == make_event(1)
-    assert not answer.whole
+    assert not answer.complete
 
 
 async def stop_soon(gateway):
--- a/knapweedrail/tests/test_relay_streams.py
+++ b/knapweedrail/tests/test_relay_streams.py
@@ -82,7 +82,7 @@
     async with run_relay(make_configuration(route), *runners) as relay:
         answer = await relay.call()
     assert answer.body == make_event(1) + make_event(2)
-    assert answer.whole
+    assert answer.complete
 
 
 @pytest.mark.anyio
@@ -108,7 +108,7 @@
         answer = await relay.call(knapweedrail_deadline_ms="6000")
         assert all(view.running == 0 for view in relay.table.list_views("e", 0.0))
     assert answer.body == make_event(1) + make_event(2) + make_event(3)
-    assert answer.whole
+    assert answer.complete
 
 
 @pytest.mark.anyio
@@ -142,4 +142,4 @@
     async with run_relay(make_configuration(route), *runners) as relay:
         answer = await relay.call(knapweedrail_deadline_ms="6000")
     assert answer.body == make_event(1) + make_event(2) + make_event(3)
-    assert answer.whole
+    assert answer.complete
--- a/knapweedrail/tests/test_relay_successors.py
+++ b/knapweedrail/tests/test_relay_successors.py
@@ -8,7 +8,7 @@
 from ..relay.runners import RunnerTable
 from .relays_in_memory import (
     ScriptedRunner,
-    answer_well,
+    answer_normally,
     find_header,
     make_answer,
     make_configuration,
@@ -187,7 +187,7 @@
     request, and the next runner has room."""
     route = make_route(Repetition.ONCE, max_runners=1)
     restarted = ScriptedRunner(RestartedRunner().respond)
-    healthy = ScriptedRunner(answer_well)
+    healthy = ScriptedRunner(answer_normally)
     async with run_relay(make_configuration(route), restarted, healthy) as relay:
         answers = [
             await relay.call(knapweedrail_request_id=f"n{number}")
