--- a/knapweedrail/relay/attempts.py
+++ b/knapweedrail/relay/attempts.py
@@ -14,9 +14,9 @@
 from .connections import ConnectionFailed, RunnerConnection
 from .models import RunnerAnswer
 from .request_context import Answered, AttemptFailed, FailureKind, RequestContext
+from .runner_views import RunnerView
 from .selection import find_shared_part
 from .streams import EventSplitter
-from .views import RunnerView
 
 FIRST_BYTE_FACTOR = 2.0
 """First-byte timeout of a repeatable request, as a multiple of its route's latency
@@ -84,7 +84,7 @@
         self._context = context
         self._view = view
         self._on_stream_start = on_stream_start
-        self._incarnation = view.life
+        self._incarnation = view.incarnation
         self._prefill_pending = False
         self._may_have_run_before = context.may_have_run
         self._stalled: StalledStream | None = None
@@ -124,7 +124,7 @@
     async def run(self) -> Answered | AttemptFailed:
         """Send the request to the runner and pass on its answer."""
         services = self._context.services
-        services.runners.note_sent(
+        services.runners.record_sent(
             self._view,
             self._context.request.prompt_tokens,
             self,
@@ -136,7 +136,7 @@
         connection: RunnerConnection | None = None
         reusable = False
         try:
-            connection = await services.pool.take(
+            connection = await services.pool.acquire(
                 self._incarnation,
                 runner.address,
                 time.monotonic(),
@@ -157,8 +157,8 @@
         While this host's event loop is late, a timeout isn't recorded against the
         runner.
         """
-        late = self._context.services.pressure.is_late(time.monotonic())
-        if not (error.silent and late):
+        late = self._context.services.overload.may_cause_timeouts(time.monotonic())
+        if not (error.timed_out and late):
             self._record_connection_error(error)
             self._record_failure(certain=not error.sent)
         kind = FailureKind.BROKEN if error.sent else FailureKind.NOT_SENT
@@ -172,10 +172,10 @@
         Closing the connection makes the runner stop its work.
         """
         services = self._context.services
-        services.runners.note_ended(self._view)
+        services.runners.record_finished(self._view)
         if connection is not None and not reusable:
             with anyio.CancelScope(shield=True):
-                await services.pool.drop(self._incarnation, connection)
+                await services.pool.discard(self._incarnation, connection)
 
     async def _send_and_relay(
         self, connection: RunnerConnection
@@ -235,7 +235,7 @@
 
     def _record_timeout(self, began_at: float) -> None:
         """Record that the first byte of an answer didn't arrive in time."""
-        if self._context.services.pressure.is_late(time.monotonic()):
+        if self._context.services.overload.may_cause_timeouts(time.monotonic()):
             # This host's event loop is late, so the answer may have arrived in time.
             return
         self._record_prompt_wait(began_at, abandoned=True)
@@ -256,7 +256,7 @@
         """
         services = self._context.services
         if self._view.runner.data_centre == services.data_centre:
-            services.pressure.note_connection(str(self._incarnation), seconds, now)
+            services.overload.record_connect_time(str(self._incarnation), seconds, now)
 
     def _make_headers(self) -> Headers:
         context = self._context
@@ -275,8 +275,8 @@
 
     def _is_queueing(self) -> bool:
         """Return whether enough prompts queue at the runner for order to matter."""
-        mean = self._context.services.runners.mean_tokens
-        queued_tokens = self._view.estimate_unread(mean, time.monotonic())
+        mean = self._context.services.runners.mean_prompt_tokens
+        queued_tokens = self._view.estimate_prefill_backlog(mean, time.monotonic())
         return (
             queued_tokens > self._context.request.prompt_tokens + QUEUED_PROMPTS * mean
         )
@@ -405,7 +405,7 @@
     ) -> bool:
         if not connection.finish():
             return False
-        self._context.services.pool.keep(
+        self._context.services.pool.release(
             self._incarnation, connection, answer.idle_seconds, time.monotonic()
         )
         return True
@@ -413,13 +413,13 @@
     def _record_success(self, began_at: float) -> None:
         """Record that the runner has begun a valid answer."""
         context, now = self._context, time.monotonic()
-        context.services.runners.note_answer(self._view, now - began_at, now)
+        context.services.runners.record_success(self._view, now - began_at, now)
         context.services.suspects.note_good(context.fingerprint, now)
         self._record_prefill_end()
         self._record_prompt_wait(began_at, abandoned=False)
         if context.request.parts:
             shared = find_shared_part(context.request.parts)
-            context.services.runners.note_prefix(shared.name, self._view, now)
+            context.services.runners.record_prefix(shared.name, self._view, now)
 
     def _record_prompt_wait(self, began_at: float, abandoned: bool) -> None:
         """Record how long the prompt waited at the runner.
@@ -431,17 +431,17 @@
         if self._context.request.parts:
             now = time.monotonic()
             runners = self._context.services.runners
-            runners.note_wait(self._view, now - began_at, abandoned, now)
+            runners.record_prefill_wait(self._view, now - began_at, abandoned, now)
 
     def _record_prefill_end(self) -> None:
         if self._prefill_pending:
             tokens = self._context.request.prompt_tokens
-            self._context.services.runners.note_begun(self._view, tokens, self)
+            self._context.services.runners.record_prefill_end(self._view, tokens, self)
             self._prefill_pending = False
 
     def _record_load(self, answer: RunnerAnswer) -> None:
         if answer.running is not None and answer.waiting is not None:
-            self._context.services.runners.note_load(
+            self._context.services.runners.record_load_report(
                 self._view, answer.running, answer.waiting, time.monotonic()
             )
 
@@ -454,7 +454,7 @@
             # A rejection or error may omit the limit, as it may be produced before the
             # runner evaluates the rest of the request.
             return
-        update = context.services.runners.note_limit(
+        update = context.services.runners.record_limit(
             self._view, answer.limit, time.monotonic(), sent_at
         )
         if update is not None:
@@ -472,12 +472,14 @@
             if answer.runner is not None:
                 self._context.services.report_mismatch(self._view.runner, answer.runner)
         else:
-            self._context.services.runners.note_full(self._view, time.monotonic())
+            self._context.services.runners.record_rejection(
+                self._view, time.monotonic()
+            )
 
     def _record_connection_error(self, error: ConnectionFailed) -> None:
         services, incarnation = self._context.services, str(self._incarnation)
         now = time.monotonic()
-        if error.silent:
+        if error.timed_out:
             self._record_unresponsive()
         if error.sent:
             services.suspects.note_break(incarnation, self._context.fingerprint, now)
@@ -488,7 +490,7 @@
             services.send_suspects(lines)
 
     def _record_unresponsive(self) -> None:
-        if self._context.services.runners.note_silence(self._view, time.monotonic()):
+        if self._context.services.runners.record_timeout(self._view, time.monotonic()):
             log_event(
                 Event.DATA_CENTRE_SILENT,
                 data_centre=self._view.runner.data_centre,
@@ -498,13 +500,13 @@
 
     def _record_failure(self, certain: bool) -> None:
         runners = self._context.services.runners
-        if runners.note_failure(self._view, time.monotonic(), certain):
+        if runners.record_failure(self._view, time.monotonic(), certain):
             log_event(
                 Event.RUNNER_EJECTED,
                 runner=self._view.runner.name,
                 endpoint=self._view.runner.endpoint,
-                seconds=self._view.ejection,
-                failing=round(self._view.failing, 2),
+                seconds=self._view.ejection_seconds,
+                failing=round(self._view.failure_rate, 2),
             )
 
 
--- a/knapweedrail/relay/connections.py
+++ b/knapweedrail/relay/connections.py
@@ -22,7 +22,7 @@
 import h11
 
 from .keepalive import set_timeouts
-from .models import RunnerLife
+from .models import RunnerIncarnation
 
 RECEIVE_BYTES = 65_536
 """Maximum size of one read."""
@@ -63,7 +63,7 @@
     step: str
     detail: str
     sent: bool
-    silent: bool = False
+    timed_out: bool = False
 
 
 class RunnerConnection:
@@ -212,9 +212,9 @@
         with anyio.fail_after(CONNECT_SECONDS):
             stream = await anyio.connect_tcp(host, int(port))
     except (OSError, TimeoutError, ValueError) as error:
-        silent = isinstance(error, TimeoutError)
+        timed_out = isinstance(error, TimeoutError)
         raise ConnectionFailed(
-            address, "connect", repr(error), False, silent
+            address, "connect", repr(error), False, timed_out
         ) from error
     set_timeouts(stream.extra(anyio.abc.SocketAttribute.raw_socket))
     return RunnerConnection(stream, address)
@@ -237,12 +237,12 @@
     """
 
     def __init__(self) -> None:
-        self._idle: dict[RunnerLife, list[RunnerConnection]] = {}
-        self.open_counts: dict[RunnerLife, int] = {}
+        self._idle: dict[RunnerIncarnation, list[RunnerConnection]] = {}
+        self.open_counts: dict[RunnerIncarnation, int] = {}
 
-    async def take(
+    async def acquire(
         self,
-        runner: RunnerLife,
+        runner: RunnerIncarnation,
         address: str,
         now: float,
         record_connect_time: RecordConnectTime,
@@ -263,12 +263,12 @@
             same_address = connection.address == address
             if same_address and fresh and connection.is_idle():
                 return connection
-            await self.drop(runner, connection)
+            await self.discard(runner, connection)
         self.open_counts[runner] = self.open_counts.get(runner, 0) + 1
         try:
             connection = await open_connection(address)
         except ConnectionFailed as error:
-            if error.silent:
+            if error.timed_out:
                 record_connect_time(CONNECT_SECONDS, time.monotonic())
             self._count_closed(runner)
             raise
@@ -279,9 +279,9 @@
         record_connect_time(ready_at - now, ready_at)
         return connection
 
-    def keep(
+    def release(
         self,
-        runner: RunnerLife,
+        runner: RunnerIncarnation,
         connection: RunnerConnection,
         idle_seconds: float | None,
         now: float,
@@ -297,12 +297,14 @@
         connection.idle_since = now
         self._idle.setdefault(runner, []).append(connection)
 
-    async def drop(self, runner: RunnerLife, connection: RunnerConnection) -> None:
+    async def discard(
+        self, runner: RunnerIncarnation, connection: RunnerConnection
+    ) -> None:
         """Close a connection that can't be reused."""
         self._count_closed(runner)
         await connection.close()
 
-    async def prune(self, now: float, known: set[RunnerLife]) -> None:
+    async def prune(self, now: float, known: set[RunnerIncarnation]) -> None:
         """Close connections past their idle timeout or whose runner is unknown."""
         for runner in list(self._idle):
             expired = [
@@ -317,13 +319,13 @@
                 del self._idle[runner]
             # Closing yields to other tasks, which may acquire and release connections.
             for connection in expired:
-                await self.drop(runner, connection)
+                await self.discard(runner, connection)
 
     async def close(self) -> None:
         """Close all idle connections."""
         await self.prune(float("inf"), set())
 
-    def _count_closed(self, runner: RunnerLife) -> None:
+    def _count_closed(self, runner: RunnerIncarnation) -> None:
         remaining = self.open_counts.get(runner, 1) - 1
         if remaining > 0:
             self.open_counts[runner] = remaining
--- a/knapweedrail/relay/daemons.py
+++ b/knapweedrail/relay/daemons.py
@@ -28,7 +28,7 @@
 from .neighbours import Neighbours, make_server
 from .news import NewsFeed
 from .options import RelaySettings
-from .pressure import Pressure
+from .overload import OverloadMonitor
 from .request_context import Services
 from .retries import RetryBudget
 from .shutdowns import Shutdown
@@ -144,7 +144,7 @@
             self._receive_limits,
         )
         self._suspects = Suspects()
-        self._pressure = Pressure()
+        self._overload = OverloadMonitor()
         self._told: list[str] = []
         self._told_more = Signal()
         self._limits: dict[str, LimitNews] = {}
@@ -169,7 +169,7 @@
             measures=measures,
             suspects=self._suspects,
             send_suspects=self._tell_suspects,
-            pressure=self._pressure,
+            overload=self._overload,
             count_relays=lambda: self._membership.count,
             report_mismatch=self._successors.note,
             send_limit=self._queue_limit,
@@ -202,7 +202,7 @@
             data_centre=self._settings.data_centre,
             watch_seconds=self._settings.configuration_watch_seconds,
         )
-        group.start_soon(self._measures.watch_delay, self._pressure)
+        group.start_soon(self._measures.watch_delay, self._overload)
         for task in (
             self._configuration,
             self._runners,
@@ -317,7 +317,7 @@
             now = time.monotonic()
             for runner in self._runners.table.prune(now):
                 log_event(Event.RUNNER_UNLISTED, runner=runner.name, forgotten=True)
-            await self._pool.prune(now, self._runners.table.list_lives())
+            await self._pool.prune(now, self._runners.table.list_incarnations())
             self._suspects.prune(now)
             if self._measures.has_many:
                 await self._measures.prepare_export()
@@ -352,7 +352,7 @@
     def _receive_limits(self, limits: list[LimitNews]) -> None:
         """Apply limits of runners, and forward those that were new to this relay."""
         for news in limits:
-            if self._runners.table.hear_limit(news, time.monotonic()):
+            if self._runners.table.merge_limit(news, time.monotonic()):
                 self._queue_limit(news)
 
     def _receive_suspects(self, lines: list[str]) -> None:
@@ -366,7 +366,7 @@
 
     async def _answer_ready(self, scope: dict, receive: object, send: object) -> None:
         configured = self._configuration.table is not None
-        out_of_rotation = self._pressure.is_out(time.monotonic())
+        out_of_rotation = self._overload.is_out_of_rotation(time.monotonic())
         ready = configured and not out_of_rotation and not self._gateway.closing.begun
         status = 200 if ready else 503
         await send(
--- a/knapweedrail/relay/followers.py
+++ b/knapweedrail/relay/followers.py
@@ -12,7 +12,7 @@
 from ..events import Event, log_event
 from ..outcomes import Unavailable
 from ..tasks import Task
-from .lives import Reading, StartTelling
+from .incarnations import EntryResult, StartTimeTracker
 from .malformed import MalformedObjects
 from .models import UNKNOWN_START, Configuration, Runner
 from .reach import StoreReach
@@ -307,9 +307,9 @@
 
 
 _READING_EVENTS = {
-    Reading.TAKEN: Event.RUNNER_LISTED,
-    Reading.RESTARTED: Event.RUNNER_RESTARTED,
-    Reading.OUTDATED: Event.RUNNER_OUTDATED,
+    EntryResult.APPLIED: Event.RUNNER_LISTED,
+    EntryResult.RESTARTED: Event.RUNNER_RESTARTED,
+    EntryResult.OUTDATED: Event.RUNNER_OUTDATED,
 }
 
 
@@ -345,10 +345,10 @@
         )
         self.table = table
         self._decode_runner = decode
-        self._start_reports = StartTelling()
+        self._start_reports = StartTimeTracker()
 
     def replace_all(self, objects: tuple[StoredObject, ...]) -> None:
-        self._start_reports.keep({stored.name for stored in objects})
+        self._start_reports.retain({stored.name for stored in objects})
         found = [(stored, self._decode(stored)) for stored in objects]
         runners = [runner for stored, runner in found if self._accepts(stored, runner)]
         self.table.replace_all(runners, time.monotonic())
@@ -372,10 +372,10 @@
         )
 
     def record_confirmation(self, now: float) -> None:
-        self.table.note_list(now)
+        self.table.mark_successors_absent(now)
 
     def remove(self, stored: StoredObject) -> None:
-        self._start_reports.forget(stored.name)
+        self._start_reports.discard(stored.name)
         started = self._decode_start(stored)
         self.table.remove_runner(stored.name, time.monotonic(), started)
         log_event(Event.RUNNER_UNLISTED, runner=stored.name, revision=stored.revision)
@@ -383,7 +383,7 @@
     def _accepts(self, stored: StoredObject, runner: Runner | None) -> bool:
         if runner is None:
             return False
-        if not self._start_reports.admits(runner.started):
+        if not self._start_reports.accepts(runner.started):
             self.record_malformed(
                 stored, ValueError("start time is missing, which other entries have")
             )
@@ -401,8 +401,8 @@
         try:
             runner = self._decode_runner(stored.name, stored.spec)
         except ValueError as error:
-            self._start_reports.forget(stored.name)
+            self._start_reports.discard(stored.name)
             self.record_malformed(stored, error)
             return None
-        self._start_reports.note(stored.name, runner.started)
+        self._start_reports.record(stored.name, runner.started)
         return runner
--- a/knapweedrail/relay/forwarding.py
+++ b/knapweedrail/relay/forwarding.py
@@ -11,12 +11,12 @@
 from ..events import Event, log_event
 from ..outcomes import Ran, Refusal, RefusalKind
 from .attempts import Attempt
-from .models import Route, RunnerLife
-from .patience import find_wait, plan_return
+from .models import Route, RunnerIncarnation
+from .queue_wait import compute_retry_after, estimate_shortest_wait
 from .request_context import Answered, AttemptFailed, FailureKind, RequestContext
 from .reservations import Reservation
+from .runner_views import RunnerView
 from .selection import choose_runner
-from .views import RunnerView
 
 HANDOVER_SECONDS = 0.3
 """Time for which the run of a stalled stream stays open while another runner is asked
@@ -58,7 +58,7 @@
     def __init__(self, context: RequestContext, reservation: Reservation) -> None:
         self._context = context
         self._reservation = reservation
-        self._attempted: set[RunnerLife] = set()
+        self._attempted: set[RunnerIncarnation] = set()
         self._stalled: Attempt | None = None
 
     @property
@@ -108,7 +108,7 @@
             outcome = await self._attempt_runner(view)
             if not isinstance(outcome, AttemptFailed):
                 return outcome
-            self._attempted.add(view.life)
+            self._attempted.add(view.incarnation)
             last_failure = _select_failure(last_failure, outcome)
             self._log_failure(view, outcome)
             if outcome.kind is FailureKind.NOT_SENT:
@@ -178,9 +178,9 @@
         """
         context, now = self._context, time.monotonic()
         runners, local = context.services.runners, context.services.data_centre
-        if not runners.is_cut_off(local, now):
+        if not runners.is_partitioned(local, now):
             return None
-        if runners.has_local(context.endpoint.name, local, now):
+        if runners.has_runner_in(context.endpoint.name, local, now):
             return None
         retry_after = self._leave_rotation(now)
         detail = "this data centre is cut off from all runners"
@@ -193,7 +193,7 @@
             Retry-after time until callers are sent to other hosts, seconds.
         """
         services = self._context.services
-        if services.pressure.note_cut_off(now):
+        if services.overload.record_partition(now):
             log_event(
                 Event.DATA_CENTRE_CUT_OFF,
                 data_centre=services.data_centre,
@@ -201,7 +201,7 @@
                 request=self._context.request.identity,
             )
         jitter = services.rng.uniform(*ROTATION_JITTER_SECONDS)
-        return services.pressure.measure_move(now) + jitter
+        return services.overload.compute_redirect_delay(now) + jitter
 
     def _refuse_queue_wait(self) -> Refusal | None:
         """Refuse a prompt if the queues of all runners are too long.
@@ -217,16 +217,16 @@
         views = [
             v
             for v in views
-            if runners.admits(v, context.priorities.by_account_and_route, now)
+            if runners.is_within_limit(v, context.priorities.by_account_and_route, now)
         ]
-        available = [view for view in views if runners.is_rested(view, now)]
-        wait = find_wait(
+        available = [view for view in views if runners.is_available(view, now)]
+        wait = estimate_shortest_wait(
             available or views, context.priorities.by_account_and_route, now
         )
-        retry_after = plan_return(wait, context.route, context.services.rng)
+        retry_after = compute_retry_after(wait, context.route, context.services.rng)
         if retry_after is None:
             return None
-        if runners.is_cut_off(context.services.data_centre, now):
+        if runners.is_partitioned(context.services.data_centre, now):
             retry_after = self._leave_rotation(now)
         detail = f"prompts wait {wait:.2f} s at every runner"
         return self._refuse(RefusalKind.FULL, Ran.NOT_RUN, detail, retry_after)
@@ -298,7 +298,7 @@
         """
         context = self._context
         retry_after = draw_retry_after(context.services.rng)
-        next_slot = context.services.runners.measure_next_turn(
+        next_slot = context.services.runners.compute_limit_wait(
             context.endpoint.name,
             context.priorities.by_account_and_route,
             time.monotonic(),
--- a/knapweedrail/relay/gateway.py
+++ b/knapweedrail/relay/gateway.py
@@ -101,7 +101,9 @@
 
     def _should_close_connections(self) -> bool:
         """Return whether callers should reconnect, which leads them to another host."""
-        return self.closing.begun or self._services.pressure.is_out(time.monotonic())
+        return self.closing.begun or self._services.overload.is_out_of_rotation(
+            time.monotonic()
+        )
 
     async def _handle_request(
         self, scope: dict, receive: Receive, response: ResponseWriter
@@ -136,12 +138,12 @@
         if refusal is not None:
             await self._refuse(response, request.identity, refusal)
             return
-        if self._services.pressure.refuses(self._services.rng, now):
+        if self._services.overload.should_shed(self._services.rng, now):
             # Only after the body was received: closing a connection with unread bytes
             # resets it, and the caller may lose the refusal.
             response.close_connection_after()
             refusal = refuse_overloaded(
-                self._services.pressure, now, self._services.rng
+                self._services.overload, now, self._services.rng
             )
             await self._refuse(response, request.identity, refusal)
             return
--- a/knapweedrail/relay/lives.py
+++ b/knapweedrail/relay/incarnations.py
@@ -8,17 +8,17 @@
 import enum
 from collections import OrderedDict
 
-from .models import UNKNOWN_START, RunnerLife
+from .models import UNKNOWN_START, RunnerIncarnation
 
 MAX_INCARNATIONS = 10_000
 """Maximum number of runners whose newest incarnation is remembered, including removed
 ones, about 1.5 MB. The least recently observed are evicted first."""
 
 
-class Reading(enum.Enum):
+class EntryResult(enum.Enum):
     """Result of applying a runner's entry."""
 
-    TAKEN = "taken"
+    APPLIED = "taken"
     RESTARTED = "taken; the runner has begun another life"
     OUTDATED = "left, since a later life is known"
 
@@ -36,19 +36,19 @@
     def __init__(self) -> None:
         self._newest: OrderedDict[str, int] = OrderedDict()
 
-    def observe(self, life: RunnerLife) -> bool:
+    def observe(self, incarnation: RunnerIncarnation) -> bool:
         """Record an incarnation; return whether no later one is known."""
-        newest = self._newest.get(life.name, UNKNOWN_START)
-        if life.started < newest:
+        newest = self._newest.get(incarnation.name, UNKNOWN_START)
+        if incarnation.started < newest:
             return False
-        self._newest[life.name] = life.started
-        self._newest.move_to_end(life.name)
+        self._newest[incarnation.name] = incarnation.started
+        self._newest.move_to_end(incarnation.name)
         if len(self._newest) > MAX_INCARNATIONS:
             self._newest.popitem(last=False)
         return True
 
 
-class StartTelling:
+class StartTimeTracker:
     """Tracks whether the runners of this cluster report their start time.
 
     If they do, an entry without a start was written by something else and names no
@@ -59,15 +59,15 @@
     def __init__(self) -> None:
         self._reports_start: dict[str, bool] = {}
 
-    def note(self, name: str, started: int) -> None:
+    def record(self, name: str, started: int) -> None:
         """Record an otherwise valid entry."""
         self._reports_start[name] = started != UNKNOWN_START
 
-    def forget(self, name: str) -> None:
+    def discard(self, name: str) -> None:
         """Discard an entry that was deleted or is unreadable."""
         self._reports_start.pop(name, None)
 
-    def keep(self, names: set[str]) -> None:
+    def retain(self, names: set[str]) -> None:
         """Discard all entries except those with these names."""
         self._reports_start = {
             name: reports
@@ -75,7 +75,7 @@
             if name in names
         }
 
-    def admits(self, started: int) -> bool:
+    def accepts(self, started: int) -> bool:
         """Return whether an entry with this start may belong to a runner."""
         reporting = sum(self._reports_start.values())
         return started != UNKNOWN_START or 2 * reporting <= len(self._reports_start)
--- a/knapweedrail/relay/measures.py
+++ b/knapweedrail/relay/measures.py
@@ -13,7 +13,7 @@
 from ..events import Event, log_event
 from ..measures import Measures, import_exporter
 from .models import Account
-from .pressure import TICK_SECONDS, Pressure
+from .overload import SAMPLE_INTERVAL_SECONDS, OverloadMonitor
 from .stores import Store
 
 GAP_BOUNDS = [0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2, 5]
@@ -84,19 +84,19 @@
             await anyio.to_thread.run_sync(import_exporter)
             self.export()
 
-    async def watch_delay(self, pressure: Pressure) -> None:
+    async def watch_delay(self, overload: OverloadMonitor) -> None:
         """Measure, record and log the event loop's delay until cancelled.
 
         Args:
-            pressure: Gets each measured delay.
+            overload: Gets each measured delay.
         """
         logged_at = float("-inf")
         while True:
-            due = time.monotonic() + TICK_SECONDS
-            await anyio.sleep(TICK_SECONDS)
+            due = time.monotonic() + SAMPLE_INTERVAL_SECONDS
+            await anyio.sleep(SAMPLE_INTERVAL_SECONDS)
             now = time.monotonic()
             late = max(0.0, now - due)
-            pressure.note_delay(late, now)
+            overload.record_loop_delay(late, now)
             self.delays.record(late)
             if (
                 late >= LATE_LOG_THRESHOLD_SECONDS
@@ -106,8 +106,8 @@
                 log_event(
                     Event.LOOP_LATE,
                     seconds=round(late, 3),
-                    mean=round(pressure.delay, 3),
-                    in_rotation=not pressure.is_out(now),
+                    mean=round(overload.loop_delay, 3),
+                    in_rotation=not overload.is_out_of_rotation(now),
                 )
 
     async def answer(self, scope: dict, receive: Any, send: Any) -> None:
--- a/knapweedrail/relay/models.py
+++ b/knapweedrail/relay/models.py
@@ -133,7 +133,7 @@
 
 
 @attrs.frozen(cache_hash=True)
-class RunnerLife:
+class RunnerIncarnation:
     """Identifies one incarnation of a runner.
 
     A runner may restart under the same name and then has none of its former state, so
@@ -171,9 +171,9 @@
     started: int = UNKNOWN_START
 
     @property
-    def life(self) -> RunnerLife:
+    def incarnation(self) -> RunnerIncarnation:
         """Identifies this incarnation among those of the same name."""
-        return RunnerLife(self.name, self.started)
+        return RunnerIncarnation(self.name, self.started)
 
 
 @attrs.frozen
--- a/knapweedrail/relay/pressure.py
+++ b/knapweedrail/relay/overload.py
@@ -8,7 +8,7 @@
 import math
 import random
 
-TICK_SECONDS = 0.1
+SAMPLE_INTERVAL_SECONDS = 0.1
 """Interval between measurements of the event loop's delay."""
 
 MAX_SAMPLE_SECONDS = 0.5
@@ -68,7 +68,7 @@
 unreachable at once stay below the lower bound."""
 
 
-class Pressure:
+class OverloadMonitor:
     """Tracks the delay of the event loop and the link, and decides on load shedding.
 
     The load balancer distributes callers by a hash, so a small host may get ten times
@@ -92,16 +92,16 @@
         self._partitioned_at = float("-inf")
 
     @property
-    def delay(self) -> float:
+    def loop_delay(self) -> float:
         """Current mean delay of the event loop, seconds."""
         return self._fast_delay
 
-    def note_delay(self, seconds: float, now: float) -> None:
+    def record_loop_delay(self, seconds: float, now: float) -> None:
         """Record one sample of the event loop's delay, seconds."""
         if seconds >= STALL_SECONDS:
             return
         sample = min(MAX_SAMPLE_SECONDS, max(0.0, seconds))
-        elapsed = TICK_SECONDS + sample
+        elapsed = SAMPLE_INTERVAL_SECONDS + sample
         self._fast_delay += _compute_weight(elapsed, FAST_MEAN_SECONDS) * (
             sample - self._fast_delay
         )
@@ -111,7 +111,7 @@
         if self._slow_delay >= OUT_OF_ROTATION_DELAY_SECONDS:
             self._out_of_rotation_until = now + MIN_OUT_OF_ROTATION_SECONDS
 
-    def note_connection(self, runner: str, seconds: float, now: float) -> None:
+    def record_connect_time(self, runner: str, seconds: float, now: float) -> None:
         """Record the seconds that a connection to a runner took or timed out after.
 
         A saturated link affects connections to all runners. So slow connections to the
@@ -132,7 +132,7 @@
                 if now - at < LINK_DECAY_SECONDS
             }
             self._slow_connects[runner] = now
-        self._connect_seconds = self.measure_link(now)
+        self._connect_seconds = self.estimate_connect_time(now)
         self._connect_seconds += LINK_EWMA_WEIGHT * (seconds - self._connect_seconds)
         self._connect_measured_at = now
         if self._connect_seconds >= LINK_LATE_SECONDS:
@@ -140,7 +140,7 @@
             # alone doesn't help; the load balancer has to send callers elsewhere.
             self._out_of_rotation_until = now + MIN_OUT_OF_ROTATION_SECONDS
 
-    def note_cut_off(self, now: float) -> bool:
+    def record_partition(self, now: float) -> bool:
         """Record that a network partition keeps this data centre from serving callers.
 
         Callers may still reach a data centre that is partitioned from the others, while
@@ -159,32 +159,32 @@
         )
         return new
 
-    def measure_move(self, now: float) -> float:
+    def compute_redirect_delay(self, now: float) -> float:
         """Return the seconds until callers stop coming after a noticed partition."""
         return max(0.0, self._partitioned_at + BALANCER_REACTION_SECONDS - now)
 
-    def measure_link(self, now: float) -> float:
+    def estimate_connect_time(self, now: float) -> float:
         """Return the current mean time to connect to a runner, seconds."""
         return self._connect_seconds * math.exp(
             (self._connect_measured_at - now) / LINK_DECAY_SECONDS
         )
 
-    def is_late(self, now: float) -> bool:
+    def may_cause_timeouts(self, now: float) -> bool:
         """Return whether a timeout seen now may be caused by this host itself."""
         late = self._fast_delay >= LOOP_LATE_SECONDS
-        return late or self.measure_link(now) >= LINK_LATE_SECONDS
+        return late or self.estimate_connect_time(now) >= LINK_LATE_SECONDS
 
-    def is_out(self, now: float) -> bool:
+    def is_out_of_rotation(self, now: float) -> bool:
         """Return whether the load balancer should send new callers to other hosts."""
         return now < self._out_of_rotation_until
 
-    def refuses(self, rng: random.Random, now: float) -> bool:
+    def should_shed(self, rng: random.Random, now: float) -> bool:
         """Return whether to shed a request that arrives now."""
         loop = _compute_shed_share(
             self._fast_delay, SHED_START_DELAY_SECONDS, SHED_FULL_DELAY_SECONDS
         )
         link = _compute_shed_share(
-            self.measure_link(now), LINK_LATE_SECONDS, LINK_SATURATED_SECONDS
+            self.estimate_connect_time(now), LINK_LATE_SECONDS, LINK_SATURATED_SECONDS
         )
         share = max(loop, link)
         return share > 0 and rng.random() < share
--- a/knapweedrail/relay/patience.py
+++ b/knapweedrail/relay/queue_wait.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from .models import Route
-from .views import RunnerView
+from .runner_views import RunnerView
 
 MAX_WAIT_FACTOR = 0.4
 """Fraction of the route's objective that prompts may wait at every runner before the
@@ -22,7 +22,9 @@
 refused together from returning together."""
 
 
-def find_wait(views: Iterable[RunnerView], priority: int | None, now: float) -> float:
+def estimate_shortest_wait(
+    views: Iterable[RunnerView], priority: int | None, now: float
+) -> float:
     """Return a lower bound of a new prompt's wait at the best runner, seconds.
 
     Handles more prompts than the runners can prefill, for example when a network
@@ -41,7 +43,7 @@
     return min((view.estimate_wait(priority, now) for view in views), default=0.0)
 
 
-def plan_return(wait: float, route: Route, rng: random.Random) -> float | None:
+def compute_retry_after(wait: float, route: Route, rng: random.Random) -> float | None:
     """Return when to retry a prompt that would wait too long, seconds.
 
     Args:
--- a/knapweedrail/relay/refusals.py
+++ b/knapweedrail/relay/refusals.py
@@ -6,7 +6,7 @@
 
 from ..outcomes import Ran, Refusal, RefusalKind
 from .forwarding import draw_retry_after
-from .pressure import Pressure
+from .overload import OverloadMonitor
 
 HTTP_STATUSES = {
     RefusalKind.BAD_REQUEST: 400,
@@ -73,12 +73,14 @@
     )
 
 
-def refuse_overloaded(pressure: Pressure, now: float, rng: random.Random) -> Refusal:
+def refuse_overloaded(
+    overload: OverloadMonitor, now: float, rng: random.Random
+) -> Refusal:
     """Return a refusal of a request that this host sheds because of its load."""
-    link = pressure.measure_link(now)
+    link = overload.estimate_connect_time(now)
     return refuse(
         RefusalKind.FULL,
-        f"this host is {pressure.delay:.2f} s late, its link {link:.2f} s",
+        f"this host is {overload.loop_delay:.2f} s late, its link {link:.2f} s",
         rng.uniform(*OTHER_HOST_RETRY_AFTER_SECONDS),
     )
 
--- a/knapweedrail/relay/request_context.py
+++ b/knapweedrail/relay/request_context.py
@@ -15,7 +15,7 @@
 from .connections import ConnectionPool
 from .measures import RelayMeasures
 from .models import CallerRequest, Endpoint, Route, Runner, RunnerAnswer
-from .pressure import Pressure
+from .overload import OverloadMonitor
 from .response_writer import ResponseWriter
 from .retries import RetryBudget
 from .routes import Priorities
@@ -78,7 +78,7 @@
         data_centre: Name of this host's data centre.
         suspects: Requests that may crash runners.
         send_suspects: Sends lines about suspects to the other relays.
-        pressure: Load of this host.
+        overload: Load of this host.
         count_relays: Returns the number of relays.
         report_mismatch: Reports that a runner's address now belongs to the runner of
             the given name.
@@ -95,7 +95,7 @@
     measures: RelayMeasures
     suspects: Suspects
     send_suspects: Callable[[list[str]], None]
-    pressure: Pressure
+    overload: OverloadMonitor
     count_relays: Callable[[], int]
     report_mismatch: Callable[[Runner, str], None]
     send_limit: Callable[[LimitNews], None] = lambda news: None
--- a/knapweedrail/relay/views.py
+++ b/knapweedrail/relay/runner_views.py
@@ -8,7 +8,7 @@
 import attrs
 
 from ..limits import LimitRecord
-from .models import Runner, RunnerLife
+from .models import Runner, RunnerIncarnation
 
 LOAD_REPORT_TTL_SECONDS = 1.0
 """How long a runner's load report counts. Requests take a second or less at the median,
@@ -47,7 +47,7 @@
     """
 
     runner: Runner
-    life: RunnerLife = attrs.field(init=False)
+    incarnation: RunnerIncarnation = attrs.field(init=False)
     running: int = 0
     pending_prompt_tokens: int = 0
     awaiting_first_byte: dict[object, tuple[float, int | None]] = attrs.field(
@@ -59,32 +59,32 @@
     other_requests: float = 0.0
     other_requests_waiting: float = 0.0
     reported_at: float = float("-inf")
-    failing: float = 0.0
+    failure_rate: float = 0.0
     latency: float = 0.0
     ejected_until: float = float("-inf")
-    ejection: float = 0.0
+    ejection_seconds: float = 0.0
     backoff_until: float = float("-inf")
-    gone_at: float | None = None
+    unlisted_at: float | None = None
     absent_since: float | None = None
     limit_record: LimitRecord = attrs.field(factory=LimitRecord)
     superseded: bool = False
 
-    @life.default
-    def _get_incarnation(self) -> RunnerLife:
-        return self.runner.life
+    @incarnation.default
+    def _get_incarnation(self) -> RunnerIncarnation:
+        return self.runner.incarnation
 
     def estimate_load(self, now: float) -> float:
         """Return its number of requests: exact for this relay, reported for others."""
         return self.running + self._compute_report_weight(now) * self.other_requests
 
-    def estimate_unread(self, mean_tokens: float, now: float) -> float:
+    def estimate_prefill_backlog(self, mean_prompt_tokens: float, now: float) -> float:
         """Return the prompt tokens it has to prefill before those of a new request.
 
         Args:
-            mean_tokens: Mean prompt tokens per request, for other relays' ones.
+            mean_prompt_tokens: Mean prompt tokens per request, for other relays' ones.
         """
         others = self._compute_report_weight(now) * self.other_requests_waiting
-        return self.pending_prompt_tokens + others * mean_tokens
+        return self.pending_prompt_tokens + others * mean_prompt_tokens
 
     def estimate_wait(self, priority: int | None, now: float) -> float:
         """Return a lower bound of the time a new request would wait here, seconds.
@@ -106,6 +106,6 @@
     def _compute_report_weight(self, now: float) -> float:
         return max(0.0, 1.0 - (now - self.reported_at) / LOAD_REPORT_TTL_SECONDS)
 
-    def is_rested(self, now: float) -> bool:
+    def is_available(self, now: float) -> bool:
         """Return whether it is neither ejected nor backing off after a rejection."""
         return now >= self.ejected_until and now >= self.backoff_until
--- a/knapweedrail/relay/runners.py
+++ b/knapweedrail/relay/runners.py
@@ -12,9 +12,9 @@
 import attrs
 
 from ..limits import FindStanding, LimitNews, measure_next_turn, stand_alone
-from .lives import IncarnationTracker, Reading
-from .models import UNKNOWN_START, Runner, RunnerLife, RunnerState
-from .views import RunnerView
+from .incarnations import EntryResult, IncarnationTracker
+from .models import UNKNOWN_START, Runner, RunnerIncarnation, RunnerState
+from .runner_views import RunnerView
 
 PREFIX_TTL_SECONDS = 9.0
 """How long a prefix that was sent to a runner is assumed to be in its prefix cache.
@@ -84,13 +84,15 @@
             runner which limits its requests.
     """
 
-    def __init__(self, doubt: float) -> None:
-        self._grace_seconds = doubt
+    def __init__(self, grace_seconds: float) -> None:
+        self._grace_seconds = grace_seconds
         self._views: dict[str, RunnerView] = {}
         self._by_endpoint: dict[str, dict[str, RunnerView]] = {}
-        self.mean_tokens = 0.0
+        self.mean_prompt_tokens = 0.0
         self._incarnations = IncarnationTracker()
-        self._prefixes: OrderedDict[str, tuple[RunnerLife, float]] = OrderedDict()
+        self._prefixes: OrderedDict[str, tuple[RunnerIncarnation, float]] = (
+            OrderedDict()
+        )
         self._last_answer_at: dict[str, float] = {}
         self._partitioned_until: dict[str, float] = {}
         self._unlisted_successors: set[str] = set()
@@ -100,9 +102,9 @@
     def __len__(self) -> int:
         return len(self._views)
 
-    def list_lives(self) -> set[RunnerLife]:
+    def list_incarnations(self) -> set[RunnerIncarnation]:
         """Return the current incarnations of all runners, including unlisted ones."""
-        return {view.life for view in self._views.values()}
+        return {view.incarnation for view in self._views.values()}
 
     def list_views(self, endpoint: str, now: float) -> list[RunnerView]:
         """Return the endpoint's runners that may get requests.
@@ -114,36 +116,36 @@
         self._expire_absent(now)
         views = self._by_endpoint.get(endpoint, {}).values()
         ready = [v for v in views if v.runner.state is RunnerState.READY]
-        listed = [v for v in ready if v.gone_at is None]
+        listed = [v for v in ready if v.unlisted_at is None]
         if listed:
             return listed
-        return [v for v in ready if now - (v.gone_at or 0.0) < self._grace_seconds]
+        return [v for v in ready if now - (v.unlisted_at or 0.0) < self._grace_seconds]
 
     def count_listed(self) -> dict[str, float]:
         """Return the number of listed runners that are ready, by endpoint."""
         return {
             endpoint: float(
                 sum(
-                    view.runner.state is RunnerState.READY and view.gone_at is None
+                    view.runner.state is RunnerState.READY and view.unlisted_at is None
                     for view in views.values()
                 )
             )
             for endpoint, views in self._by_endpoint.items()
         }
 
-    def set_runner(self, runner: Runner) -> Reading:
+    def set_runner(self, runner: Runner) -> EntryResult:
         """Apply a new or changed entry of a runner.
 
         Returns:
             What became of the entry; one of an earlier incarnation is ignored.
         """
-        if not self._incarnations.observe(runner.life):
-            return Reading.OUTDATED
-        result = Reading.TAKEN
+        if not self._incarnations.observe(runner.incarnation):
+            return EntryResult.OUTDATED
+        result = EntryResult.APPLIED
         view = self._views.get(runner.name)
-        if view is not None and view.life != runner.life:
+        if view is not None and view.incarnation != runner.incarnation:
             self._supersede(view)
-            result = Reading.RESTARTED
+            result = EntryResult.RESTARTED
             view = None
         if view is None:
             view = RunnerView(runner)
@@ -151,7 +153,7 @@
         elif view.runner.endpoint != runner.endpoint:
             self._remove_from_endpoint(view.runner)
         view.runner = runner
-        view.gone_at = None
+        view.unlisted_at = None
         self._unlisted_successors.discard(runner.name)
         self._by_endpoint.setdefault(runner.endpoint, {})[runner.name] = view
         return result
@@ -170,7 +172,9 @@
         view = self._views.get(name)
         return view.runner if view else None
 
-    def succeed(self, life: RunnerLife, successor: Runner, now: float) -> bool:
+    def add_successor(
+        self, incarnation: RunnerIncarnation, successor: Runner, now: float
+    ) -> bool:
         """Replace an ended runner by its successor before the successor is listed.
 
         A relay that is partitioned from the store has no other way to learn of it. Once
@@ -178,7 +182,7 @@
         from it for the grace period gets no more requests.
 
         Args:
-            life: The one that has ended; a later one under its name stays.
+            incarnation: The one that has ended; a later one under its name stays.
             successor: The runner that was found in its place.
             now: Monotonic time, seconds.
 
@@ -189,15 +193,15 @@
         if known is not None and known.runner.started >= successor.started:
             return False
         ready = attrs.evolve(successor, state=RunnerState.READY)
-        if self.set_runner(ready) is Reading.OUTDATED:
+        if self.set_runner(ready) is EntryResult.OUTDATED:
             return False
-        ended = self._views.get(life.name)
-        if ended is not None and ended.life == life:
-            self.remove_runner(life.name, now)
+        ended = self._views.get(incarnation.name)
+        if ended is not None and ended.incarnation == incarnation:
+            self.remove_runner(incarnation.name, now)
         self._unlisted_successors.add(successor.name)
         return True
 
-    def note_list(self, now: float) -> None:
+    def mark_successors_absent(self, now: float) -> None:
         """Record that the list is current and lacks the unlisted successors."""
         for name in self._unlisted_successors:
             view = self._views[name]
@@ -212,7 +216,7 @@
             ):
                 self._unlisted_successors.discard(view.runner.name)
                 # Counted from its absence, so it isn't kept in reserve either.
-                view.gone_at = view.absent_since
+                view.unlisted_at = view.absent_since
 
     def remove_runner(
         self, name: str, now: float, started: int = UNKNOWN_START
@@ -227,8 +231,8 @@
         if view is None or UNKNOWN_START < started < view.runner.started:
             return
         self._unlisted_successors.discard(name)
-        if view.gone_at is None:
-            view.gone_at = now
+        if view.unlisted_at is None:
+            view.unlisted_at = now
 
     def replace_all(self, runners: Iterable[Runner], now: float) -> None:
         """Apply a complete list of runners."""
@@ -246,8 +250,8 @@
         gone = [
             view.runner
             for view in self._views.values()
-            if view.gone_at is not None
-            and now - view.gone_at >= self._grace_seconds
+            if view.unlisted_at is not None
+            and now - view.unlisted_at >= self._grace_seconds
             and not view.running
         ]
         for runner in gone:
@@ -261,7 +265,7 @@
         if not views:
             del self._by_endpoint[runner.endpoint]
 
-    def note_sent(
+    def record_sent(
         self,
         view: RunnerView,
         tokens: int,
@@ -275,9 +279,11 @@
             view.limit_record.limit.sent_at = now
         view.pending_prompt_tokens += tokens
         view.awaiting_first_byte[attempt] = (now, priority)
-        self.mean_tokens += EWMA_WEIGHT * (tokens - self.mean_tokens)
+        self.mean_prompt_tokens += EWMA_WEIGHT * (tokens - self.mean_prompt_tokens)
 
-    def note_begun(self, view: RunnerView, tokens: int, attempt: object) -> None:
+    def record_prefill_end(
+        self, view: RunnerView, tokens: int, attempt: object
+    ) -> None:
         """Record that the prefill of a request is over.
 
         Called when the answer's first byte arrives or the attempt fails.
@@ -285,7 +291,7 @@
         view.pending_prompt_tokens -= tokens
         del view.awaiting_first_byte[attempt]
 
-    def note_wait(
+    def record_prefill_wait(
         self, view: RunnerView, seconds: float, abandoned: bool, now: float
     ) -> None:
         """Record a prompt's wait for its first byte, and whether it was abandoned."""
@@ -293,25 +299,27 @@
         view.last_wait_at = now
         view.last_wait_abandoned = abandoned
 
-    def note_ended(self, view: RunnerView) -> None:
+    def record_finished(self, view: RunnerView) -> None:
         """Record that a request at a runner has finished."""
         view.running -= 1
 
-    def note_prefix(self, prefix: str, view: RunnerView, now: float) -> None:
+    def record_prefix(self, prefix: str, view: RunnerView, now: float) -> None:
         """Record that a runner has a prefix in its prefix cache."""
         if view.superseded:
             return
-        self._prefixes[prefix] = (view.life, now)
+        self._prefixes[prefix] = (view.incarnation, now)
         self._prefixes.move_to_end(prefix)
         if len(self._prefixes) > MAX_PREFIXES:
             self._prefixes.popitem(last=False)
 
-    def find_runner_with_prefix(self, prefix: str, now: float) -> RunnerLife | None:
+    def find_runner_with_prefix(
+        self, prefix: str, now: float
+    ) -> RunnerIncarnation | None:
         """Return the incarnation to which a prefix was recently sent, if any."""
-        life, at = self._prefixes.get(prefix, (None, float("-inf")))
-        return life if now - at < PREFIX_TTL_SECONDS else None
+        incarnation, at = self._prefixes.get(prefix, (None, float("-inf")))
+        return incarnation if now - at < PREFIX_TTL_SECONDS else None
 
-    def note_load(
+    def record_load_report(
         self, view: RunnerView, running: int, waiting: int, now: float
     ) -> None:
         """Record a runner's report of its running and waiting requests."""
@@ -319,7 +327,7 @@
         view.other_requests_waiting = min(view.other_requests, float(waiting))
         view.reported_at = now
 
-    def note_limit(
+    def record_limit(
         self, view: RunnerView, rate: float | None, now: float, sent_at: float
     ) -> LimitNews | None:
         """Record the rate limit that a runner's answer states.
@@ -336,13 +344,15 @@
             return None
         if not view.limit_record.note_named(rate, now, self._rng, sent_at):
             return None
-        record, life = view.limit_record, view.life
-        return LimitNews(life.name, life.started, record.told, record.number)
+        record, incarnation = view.limit_record, view.incarnation
+        return LimitNews(
+            incarnation.name, incarnation.started, record.told, record.number
+        )
 
-    def hear_limit(self, news: LimitNews, now: float) -> bool:
+    def merge_limit(self, news: LimitNews, now: float) -> bool:
         """Merge a limit received from another relay; return whether it was new."""
         view = self._views.get(news.runner)
-        if view is None or view.life.started != news.started:
+        if view is None or view.incarnation.started != news.started:
             return False
         return view.limit_record.hear(news, now, self._rng)
 
@@ -360,11 +370,13 @@
         standing = self.find_standing(view.runner.name, limit.rate)
         return limit.measure_pause(standing, priority or 0, now)
 
-    def admits(self, view: RunnerView, priority: int | None, now: float) -> bool:
+    def is_within_limit(
+        self, view: RunnerView, priority: int | None, now: float
+    ) -> bool:
         """Return whether a runner's limit lets this relay send a request now."""
         return self.compute_limit_delay(view, priority, now) <= 0
 
-    def measure_next_turn(
+    def compute_limit_wait(
         self, endpoint: str, priority: int | None, now: float
     ) -> float | None:
         """Return the time until some relay may send to one of the runners, seconds.
@@ -373,19 +385,21 @@
             ``None`` if this relay may send to one now, or the endpoint has no runner.
         """
         views = self.list_views(endpoint, now)
-        if not views or any(self.admits(view, priority, now) for view in views):
+        if not views or any(
+            self.is_within_limit(view, priority, now) for view in views
+        ):
             return None
         limits = [view.limit_record.limit for view in views]
         return measure_next_turn(limit.rate for limit in limits if limit is not None)
 
-    def is_rested(self, view: RunnerView, now: float) -> bool:
+    def is_available(self, view: RunnerView, now: float) -> bool:
         """Return whether a runner is neither ejected, backing off nor partitioned."""
         partitioned = now < self._partitioned_until.get(
             view.runner.data_centre, float("-inf")
         )
-        return not partitioned and view.is_rested(now)
+        return not partitioned and view.is_available(now)
 
-    def note_silence(self, view: RunnerView, now: float) -> bool:
+    def record_timeout(self, view: RunnerView, now: float) -> bool:
         """Record that a request to a runner timed out without any response.
 
         A crashed runner refuses connections; one without power or behind a network
@@ -408,7 +422,7 @@
         self._partitioned_until[data_centre] = now + PARTITION_SECONDS
         return not already_known
 
-    def is_cut_off(self, data_centre: str, now: float) -> bool:
+    def is_partitioned(self, data_centre: str, now: float) -> bool:
         """Return whether a data centre seems to be partitioned from all others.
 
         If two or more others are unreachable at once, it is most likely this one that
@@ -423,30 +437,30 @@
         others = {view.runner.data_centre for view in self._views.values()}
         return others - {data_centre} <= unreachable
 
-    def has_local(self, endpoint: str, data_centre: str, now: float) -> bool:
+    def has_runner_in(self, endpoint: str, data_centre: str, now: float) -> bool:
         """Return whether an endpoint has a runner in a data centre."""
         views = self.list_views(endpoint, now)
         return any(view.runner.data_centre == data_centre for view in views)
 
-    def note_answer(self, view: RunnerView, seconds: float, now: float) -> None:
+    def record_success(self, view: RunnerView, seconds: float, now: float) -> None:
         """Record a successful answer and its time to the first byte, seconds."""
         if view.superseded:
             return
         self._last_answer_at[view.runner.data_centre] = now
         self._partitioned_until.pop(view.runner.data_centre, None)
-        view.failing -= EWMA_WEIGHT * view.failing
-        if view.failing < EJECTION_FAILURE_RATE / 2:
-            view.ejection = 0.0
+        view.failure_rate -= EWMA_WEIGHT * view.failure_rate
+        if view.failure_rate < EJECTION_FAILURE_RATE / 2:
+            view.ejection_seconds = 0.0
         if view.latency:
             view.latency += EWMA_WEIGHT * (seconds - view.latency)
         else:
             view.latency = seconds
 
-    def note_full(self, view: RunnerView, now: float) -> None:
+    def record_rejection(self, view: RunnerView, now: float) -> None:
         """Record that a runner rejected a request for lack of capacity."""
         view.backoff_until = now + REJECTION_BACKOFF_SECONDS
 
-    def note_failure(self, view: RunnerView, now: float, certain: bool) -> bool:
+    def record_failure(self, view: RunnerView, now: float, certain: bool) -> bool:
         """Record a failed answer; return whether the runner is ejected for it.
 
         Args:
@@ -456,10 +470,10 @@
         """
         if view.superseded:
             return False
-        view.failing += EWMA_WEIGHT * (1.0 - view.failing)
-        if not certain and view.failing < EJECTION_FAILURE_RATE:
+        view.failure_rate += EWMA_WEIGHT * (1.0 - view.failure_rate)
+        if not certain and view.failure_rate < EJECTION_FAILURE_RATE:
             return False
-        doubled = max(BASE_EJECTION_SECONDS, 2 * view.ejection)
-        view.ejection = min(MAX_EJECTION_SECONDS, doubled)
-        view.ejected_until = now + view.ejection
+        doubled = max(BASE_EJECTION_SECONDS, 2 * view.ejection_seconds)
+        view.ejection_seconds = min(MAX_EJECTION_SECONDS, doubled)
+        view.ejected_until = now + view.ejection_seconds
         return True
--- a/knapweedrail/relay/selection.py
+++ b/knapweedrail/relay/selection.py
@@ -9,9 +9,9 @@
 import statistics
 
 from ..hashing import hash_pair
-from .models import CallerRequest, PromptPart, RunnerLife
+from .models import CallerRequest, PromptPart, RunnerIncarnation
+from .runner_views import RunnerView
 from .runners import MAX_SLOW_FACTOR, SLOW_FACTOR, RunnerTable
-from .views import RunnerView
 
 RUNNING_REQUEST_TOKENS = 60.0
 """Cost of one running request in prompt tokens. Each request that a runner generates
@@ -23,7 +23,7 @@
     table: RunnerTable,
     endpoint: str,
     request: CallerRequest,
-    tried: set[RunnerLife],
+    tried: set[RunnerIncarnation],
     data_centre: str,
     now: float,
     rng: random.Random,
@@ -45,11 +45,11 @@
     untried = [
         view
         for view in table.list_views(endpoint, now)
-        if view.life not in tried and table.admits(view, priority, now)
+        if view.incarnation not in tried and table.is_within_limit(view, priority, now)
     ]
     if not untried:
         return None
-    available = [view for view in untried if table.is_rested(view, now)]
+    available = [view for view in untried if table.is_available(view, now)]
     if not available:
         return min(untried, key=lambda v: max(v.ejected_until, v.backoff_until))
     if request.parts:
@@ -93,12 +93,12 @@
     median_latency = _compute_median_latency(views)
 
     def compute_cost(view: RunnerView) -> float:
-        tokens = view.estimate_unread(table.mean_tokens, now)
+        tokens = view.estimate_prefill_backlog(table.mean_prompt_tokens, now)
         tokens += RUNNING_REQUEST_TOKENS * view.estimate_load(now)
-        if view is not preferred and view.life != recent:
+        if view is not preferred and view.incarnation != recent:
             tokens += shared.tokens
         if median_latency and view.latency > SLOW_FACTOR * median_latency:
-            tokens += table.mean_tokens * view.latency / median_latency
+            tokens += table.mean_prompt_tokens * view.latency / median_latency
         return tokens
 
     return min(views, key=compute_cost)
--- a/knapweedrail/relay/successors.py
+++ b/knapweedrail/relay/successors.py
@@ -105,7 +105,9 @@
             successor = attrs.evolve(
                 mismatch.runner, name=mismatch.name, started=report.started
             )
-            if self._table.succeed(mismatch.runner.life, successor, time.monotonic()):
+            if self._table.add_successor(
+                mismatch.runner.incarnation, successor, time.monotonic()
+            ):
                 log_event(
                     Event.RUNNER_SUCCEEDED,
                     runner=mismatch.runner.name,
@@ -119,11 +121,11 @@
         return [one.name for one in endpoints if one.cache_tokens] == [endpoint]
 
     async def _fetch_report(self, mismatch: IdentityMismatch) -> RunnerReport | None:
-        incarnation, address = mismatch.runner.life, mismatch.runner.address
+        incarnation, address = mismatch.runner.incarnation, mismatch.runner.address
         connection: RunnerConnection | None = None
         try:
             with anyio.move_on_after(REPORT_TIMEOUT_SECONDS):
-                connection = await self._pool.take(
+                connection = await self._pool.acquire(
                     incarnation, address, time.monotonic(), _ignore_connect_time
                 )
                 return await self._exchange_report(connection, mismatch.name)
@@ -137,7 +139,7 @@
         finally:
             if connection is not None:
                 with anyio.CancelScope(shield=True):
-                    await self._pool.drop(incarnation, connection)
+                    await self._pool.discard(incarnation, connection)
         return None
 
     async def _exchange_report(
--- a/knapweedrail/standins/limitfleet.py
+++ b/knapweedrail/standins/limitfleet.py
@@ -15,9 +15,9 @@
 
 from ..limits import LimitNews, Standing, count_senders, rank_senders
 from ..relay.models import CallerRequest, Runner, RunnerState
+from ..relay.runner_views import RunnerView
 from ..relay.runners import RunnerTable
 from ..relay.selection import choose_runner
-from ..relay.views import RunnerView
 
 ENDPOINT = "e"
 CONTACT_SECONDS = 3.0
@@ -108,7 +108,7 @@
 
     def start(self, host: str, listed: bool = False) -> None:
         """Start a relay's next life; the others hear of a new host some time later."""
-        table = RunnerTable(doubt=1.9)
+        table = RunnerTable(grace_seconds=1.9)
         hosts = [*self.relays] if host in self.relays else [*self.relays, host]
         relay = PlayedRelay(host, table, hosts, next(self._versions))
         table.find_standing = lambda runner, rate: self._stand(relay, runner, rate)
@@ -190,8 +190,8 @@
         if view is None:
             self.refused += 1
             return
-        relay.table.note_sent(view, 0, (), None, self.now)
-        relay.table.note_begun(view, 0, ())
+        relay.table.record_sent(view, 0, (), None, self.now)
+        relay.table.record_prefill_end(view, 0, ())
         runner = self.runners[view.runner.name]
         runner.served += 1
         told_at = relay.told_at.get(runner.name, float("inf"))
@@ -205,14 +205,14 @@
     def _answer(
         self, relay: PlayedRelay, view: RunnerView, named: float | None, sent_at: float
     ) -> None:
-        relay.table.note_ended(view)
+        relay.table.record_finished(view)
         if self.relays.get(relay.host) is not relay:
             return
         if named is not None:
             relay.told_at.setdefault(view.runner.name, self.now)
         if not self._heeds(relay.host):
             return
-        news = relay.table.note_limit(view, named, self.now, sent_at)
+        news = relay.table.record_limit(view, named, self.now, sent_at)
         if news is not None:
             self._tell(relay, news)
 
@@ -226,7 +226,7 @@
         relay = self.relays.get(host)
         if relay is None or self.now < relay.frozen_until or not self._heeds(host):
             return
-        if relay.table.hear_limit(news, self.now):
+        if relay.table.merge_limit(news, self.now):
             self._tell(relay, news)
 
     def _list(self) -> None:
--- a/knapweedrail/tests/relays_in_memory.py
+++ b/knapweedrail/tests/relays_in_memory.py
@@ -33,7 +33,7 @@
     Share,
 )
 from ..relay.neighbours import Neighbours
-from ..relay.pressure import Pressure
+from ..relay.overload import OverloadMonitor
 from ..relay.request_context import Services
 from ..relay.retries import RetryBudget
 from ..relay.runners import RunnerTable
@@ -357,7 +357,7 @@
         others: Names of the other hosts that it knows.
     """
     store = store or MemoryStore()
-    table = RunnerTable(doubt=1.9)
+    table = RunnerTable(grace_seconds=1.9)
     follower = ConfigurationFollower(
         store, "config", WATCH_SECONDS, lambda spec: spec, "main"
     )
@@ -382,7 +382,7 @@
         measures=RelayMeasures(),
         suspects=Suspects(),
         send_suspects=lambda lines: None,
-        pressure=Pressure(),
+        overload=OverloadMonitor(),
         count_relays=lambda: 1,
         report_mismatch=successors.note,
     )
--- a/knapweedrail/tests/test_platform_store.py
+++ b/knapweedrail/tests/test_platform_store.py
@@ -99,13 +99,13 @@
     """During a store outage one runner leaves, another is added, and the history of
     these changes is dropped. Requests would be sent to a runner that is gone."""
     async with run_store() as (objects, client):
-        table = RunnerTable(doubt=1.9)
+        table = RunnerTable(grace_seconds=1.9)
         follower = RunnerFollower(client, "servers", 0.2, decode_runner, table)
         objects.put("servers", "i-1", RUNNER)
         async with anyio.create_task_group() as group:
             await follower.start(group)
             await wait_until(
-                lambda: {life.name for life in table.list_lives()} == {"i-1"}
+                lambda: {life.name for life in table.list_incarnations()} == {"i-1"}
             )
             objects.misbehaviour.away = True
             objects.remove("servers", "i-1")
--- a/knapweedrail/tests/test_purity.py
+++ b/knapweedrail/tests/test_purity.py
@@ -82,7 +82,7 @@
     "grants",
     "ledgers",
     "models",
-    "pressure",
+    "overload",
     "reservations",
     "retries",
     "routes",
--- a/knapweedrail/tests/test_relay_exchanges.py
+++ b/knapweedrail/tests/test_relay_exchanges.py
@@ -368,8 +368,8 @@
         for _ in range(5):
             assert (await relay.call()).status == 504
         view = relay.table.list_views("e", 0.0)[0]
-        assert relay.table.is_rested(view, float("inf"))
-        assert view.failing == 0.0
+        assert relay.table.is_available(view, float("inf"))
+        assert view.failure_rate == 0.0
 
 
 async def test_answered_request_is_no_longer_a_suspect():
@@ -422,5 +422,5 @@
     ) as relay:
         await relay.call(disconnects_after=0.6)
         view = relay.table.list_views("e", 0.0)[0]
-        assert view.failing > 0
-        assert not relay.table.is_rested(view, time.monotonic())
+        assert view.failure_rate > 0
+        assert not relay.table.is_available(view, time.monotonic())
--- a/knapweedrail/tests/test_relay_foreign.py
+++ b/knapweedrail/tests/test_relay_foreign.py
@@ -25,7 +25,7 @@
     run_relay,
 )
 from .test_platform_store import run_store, wait_until
-from .test_relay_lives import OLD, Listed, make_entry
+from .test_relay_lives import OLD, WatchedRunners, make_entry
 
 pytestmark = pytest.mark.anyio
 
@@ -91,16 +91,16 @@
 async def test_entry_with_invalid_field_is_ignored(bad):
     """Guards against an entry of another program in the runners' kind that attracts
     requests to an address where no runner serves them."""
-    listed = Listed()
+    listed = WatchedRunners()
     listed.list(**{"i-0": make_entry(OLD), "i-1": make_entry(OLD) | bad})
     assert list_names(listed) == ["i-0"]
-    listed.follower.set(listed._store("i-2", make_entry(OLD) | bad))
+    listed.watcher.set(listed._store("i-2", make_entry(OLD) | bad))
     assert list_names(listed) == ["i-0"]
 
 
 @pytest.mark.parametrize("spec", BAD_SPECS)
 async def test_incomplete_entry_is_ignored(spec):
-    listed = Listed()
+    listed = WatchedRunners()
     listed.list(**{"i-1": spec, "i-0": make_entry(OLD)})
     assert list_names(listed) == ["i-0"]
 
@@ -109,7 +109,7 @@
 async def test_entry_whose_name_is_no_valid_header_value_is_ignored(name):
     """The name is sent to the runner in a header. A line break in it would fail every
     request to the runner, or inject another header."""
-    listed = Listed()
+    listed = WatchedRunners()
     listed.list(**{name: make_entry(OLD), "i-0": make_entry(OLD)})
     assert list_names(listed) == ["i-0"]
 
@@ -117,14 +117,14 @@
 async def test_runners_of_unconfigured_service_are_kept():
     """Runners of a new service may start before the operator configures it. Their
     entries don't change when the service is added."""
-    listed = Listed()
+    listed = WatchedRunners()
     listed.write("i-0", OLD, service="later")
     assert list_names(listed, "e") == []
     assert list_names(listed, "later") == ["i-0"]
 
 
 async def test_runner_that_changes_service_leaves_the_old_one():
-    listed = Listed()
+    listed = WatchedRunners()
     listed.write("i-0", OLD)
     listed.write("i-0", OLD, service="nobody's")
     assert list_names(listed) == []
@@ -141,12 +141,12 @@
 
 async def check_list(specs, whole):
     named = {f"i-{number}": spec for number, spec in enumerate(specs)}
-    listed = Listed()
+    listed = WatchedRunners()
     if whole:
         listed.list(**named)
     else:
         for name, spec in named.items():
-            listed.follower.set(listed._store(name, spec))
+            listed.watcher.set(listed._store(name, spec))
     valid = sorted(name for name, spec in named.items() if is_valid(spec))
     assert sorted(list_names(listed)) == valid
 
@@ -166,7 +166,7 @@
 
 
 async def check_watch(changes):
-    listed = Listed()
+    listed = WatchedRunners()
     last = {}
     for number, spec in changes:
         name = f"i-{number}"
@@ -174,7 +174,7 @@
         if spec == "removed":
             listed.remove(name, OLD)
         else:
-            listed.follower.set(listed._store(name, spec))
+            listed.watcher.set(listed._store(name, spec))
     valid = sorted(name for name, spec in last.items() if is_valid(spec))
     assert sorted(list_names(listed)) == valid
 
@@ -183,12 +183,12 @@
     """Another writer overwrites a runner's entry while requests are in flight there,
     and the runner restores it at its next heartbeat. It is the same incarnation: its
     known load still holds, and requests that end meanwhile must be subtracted."""
-    listed = Listed()
+    listed = WatchedRunners()
     listed.write("i-0", OLD)
     listed.write("i-1", OLD)
     view = listed.find()[0]
-    listed.table.note_sent(view, 100, view.runner, 0, 1.0)
-    listed.follower.set(listed._store("i-0", {"state": 7}))
+    listed.table.record_sent(view, 100, view.runner, 0, 1.0)
+    listed.watcher.set(listed._store("i-0", {"state": 7}))
     assert list_names(listed, now=0.0) == ["i-1"]
     listed.table.prune(1e12)
     listed.write("i-0", OLD)
@@ -199,24 +199,24 @@
 async def test_runners_with_malformed_entries_are_a_last_resort():
     """A program overwrites all entries at once. The runners are healthy and restore
     them within a heartbeat; refusing all requests until then would be an outage."""
-    listed = Listed()
+    listed = WatchedRunners()
     specs = {f"i-{number}": make_entry(OLD) for number in range(3)}
     listed.list(**specs)
     listed.list(**dict.fromkeys(specs, "malformed"))
-    gone_at = listed.table._views["i-0"].gone_at
-    assert len(list_names(listed, now=gone_at + 1.0)) == 3
-    assert list_names(listed, now=gone_at + 2.0) == []
+    unlisted_at = listed.table._views["i-0"].unlisted_at
+    assert len(list_names(listed, now=unlisted_at + 1.0)) == 3
+    assert list_names(listed, now=unlisted_at + 2.0) == []
 
 
 async def test_answer_in_flight_is_delivered_when_entry_turns_malformed():
     async def respond(stream, head):
-        listed.follower.set(listed._store("i-0", "malformed"))
+        listed.watcher.set(listed._store("i-0", "malformed"))
         return await answer_normally(stream, head)
 
     runner = ScriptedRunner(respond)
     configuration = make_configuration(make_route(Repetition.ONCE))
     async with run_relay(configuration, runner) as relay:
-        listed = Listed(relay.table)
+        listed = WatchedRunners(relay.table)
         assert (await relay.call()).status == 200
 
 
@@ -224,8 +224,8 @@
     """The list is read again whenever the store compacts its history. If each bad entry
     were logged each time, the lines on requests would be dropped."""
     counted = []
-    listed = Listed()
-    listed.follower = RunnerFollower(
+    listed = WatchedRunners()
+    listed.watcher = RunnerFollower(
         MemoryStore(),
         "servers",
         1.0,
@@ -235,10 +235,10 @@
     )
     bad = [listed._store(f"i-{number}", {"slots": -1}) for number in range(50)]
     for _ in range(3):
-        listed.follower.replace_all(tuple(bad))
+        listed.watcher.replace_all(tuple(bad))
     assert counted == ["servers"] * 50
     assert len(lines) == malformed.MAX_LOG_LINES
-    listed.follower.set(listed._store("i-0", {"slots": -1}))
+    listed.watcher.set(listed._store("i-0", {"slots": -1}))
     assert len(counted) == 51
 
 
@@ -335,7 +335,7 @@
     """A foreign entry that only lacks a start time would attract requests that no
     runner serves. But where most runners give no start time, one entry with a start
     time must not exclude the others."""
-    listed = Listed()
+    listed = WatchedRunners()
     started = {f"t{number}": OLD for number in range(with_start)}
     without_born = [f"s{number}" for number in range(without_start)]
     entries = [listed._store(name, make_entry(OLD)) for name in started]
@@ -343,15 +343,15 @@
         spec = make_entry(OLD)
         del spec["born"]
         entries.append(listed._store(name, spec))
-    listed.follower.replace_all(tuple(entries))
-    assert {life.name for life in listed.table.list_lives()} == used
+    listed.watcher.replace_all(tuple(entries))
+    assert {life.name for life in listed.table.list_incarnations()} == used
 
 
 async def test_watcher_continues_among_foreign_entries():
     """One of fifty entries is foreign, then all are, then none is, first in a list and
     then in a continued watch."""
     async with run_store() as (objects, client):
-        listed = Listed()
+        listed = WatchedRunners()
         watcher = RunnerFollower(client, "servers", 0.2, decode_runner, listed.table)
         names = [f"i-{number}" for number in range(50)]
         for name in names:
--- a/knapweedrail/tests/test_relay_isolation.py
+++ b/knapweedrail/tests/test_relay_isolation.py
@@ -5,10 +5,10 @@
 import pytest
 
 from ..relay.models import Repetition
-from ..relay.pressure import (
+from ..relay.overload import (
     BALANCER_REACTION_SECONDS,
     MIN_OUT_OF_ROTATION_SECONDS,
-    Pressure,
+    OverloadMonitor,
 )
 from ..relay.runners import PARTITION_SECONDS, RunnerTable
 from .relays_in_memory import (
@@ -26,7 +26,7 @@
 
 
 def make_table(*data_centres):
-    table = RunnerTable(doubt=1.9)
+    table = RunnerTable(grace_seconds=1.9)
     for number, data_centre in enumerate(data_centres):
         table.set_runner(make_runner(f"r-{number}", data_centre=data_centre))
     return table
@@ -35,19 +35,19 @@
 def time_out(table, now, reachable="dc"):
     for view in table.list_views("e", now):
         if view.runner.data_centre != reachable:
-            table.note_silence(view, now)
+            table.record_timeout(view, now)
 
 
 def test_data_centre_is_partitioned_when_all_others_are_unreachable():
     table = make_table("dc", "east", "west")
     east = table.list_views("e", 0.0)[1]
-    table.note_silence(east, 10.0)
-    assert not table.is_cut_off("dc", 10.1)
+    table.record_timeout(east, 10.0)
+    assert not table.is_partitioned("dc", 10.1)
     time_out(table, 10.1)
-    assert table.is_cut_off("dc", 10.2)
-    assert not table.is_cut_off("dc", 10.2 + PARTITION_SECONDS)
-    table.note_answer(east, 0.1, 10.3)
-    assert not table.is_cut_off("dc", 10.3)
+    assert table.is_partitioned("dc", 10.2)
+    assert not table.is_partitioned("dc", 10.2 + PARTITION_SECONDS)
+    table.record_success(east, 0.1, 10.3)
+    assert not table.is_partitioned("dc", 10.3)
 
 
 def test_one_unreachable_data_centre_is_no_partition():
@@ -55,17 +55,19 @@
     find no data centre to serve them."""
     table = make_table("dc", "east")
     time_out(table, 10.0)
-    assert not table.is_cut_off("dc", 10.1)
+    assert not table.is_partitioned("dc", 10.1)
 
 
 def test_retry_after_covers_the_reaction_time_of_the_balancer():
-    pressure = Pressure()
-    assert pressure.note_cut_off(10.0)
-    assert pressure.is_out(10.0 + MIN_OUT_OF_ROTATION_SECONDS - 0.1)
-    assert not pressure.note_cut_off(11.0)
-    assert pressure.measure_move(11.0) == pytest.approx(BALANCER_REACTION_SECONDS - 1.0)
-    assert pressure.measure_move(20.0) == 0.0
-    assert not pressure.is_out(11.0 + MIN_OUT_OF_ROTATION_SECONDS)
+    overload = OverloadMonitor()
+    assert overload.record_partition(10.0)
+    assert overload.is_out_of_rotation(10.0 + MIN_OUT_OF_ROTATION_SECONDS - 0.1)
+    assert not overload.record_partition(11.0)
+    assert overload.compute_redirect_delay(11.0) == pytest.approx(
+        BALANCER_REACTION_SECONDS - 1.0
+    )
+    assert overload.compute_redirect_delay(20.0) == 0.0
+    assert not overload.is_out_of_rotation(11.0 + MIN_OUT_OF_ROTATION_SECONDS)
 
 
 async def test_partitioned_host_refuses_remote_only_requests_and_leaves_rotation():
@@ -78,7 +80,9 @@
         began_at = time.monotonic()
         answer = await relay.call()
         seconds = time.monotonic() - began_at
-        out_of_rotation = relay.gateway._services.pressure.is_out(time.monotonic())
+        out_of_rotation = relay.gateway._services.overload.is_out_of_rotation(
+            time.monotonic()
+        )
     assert answer.status == 503
     assert b'"ran":"not run"' in answer.body
     assert (
@@ -96,6 +100,8 @@
         relay.table.set_runner(make_runner("west", data_centre="west"))
         time_out(relay.table, time.monotonic())
         answer = await relay.call()
-        out_of_rotation = relay.gateway._services.pressure.is_out(time.monotonic())
+        out_of_rotation = relay.gateway._services.overload.is_out_of_rotation(
+            time.monotonic()
+        )
     assert answer.status == 200
     assert not out_of_rotation
--- a/knapweedrail/tests/test_relay_lives.py
+++ b/knapweedrail/tests/test_relay_lives.py
@@ -42,12 +42,12 @@
     return spec | ({} if born is None else {"born": born}) | changes
 
 
-class Listed:
+class WatchedRunners:
     """A runner table, and a watcher that applies the entries written by a test."""
 
     def __init__(self, table=None):
         self.table = table or RunnerTable(GRACE_SECONDS)
-        self.follower = RunnerFollower(
+        self.watcher = RunnerFollower(
             MemoryStore(), "servers", 1.0, decode_runner, self.table
         )
         self.revision = 0
@@ -57,14 +57,14 @@
         return StoredObject(name, self.revision, spec)
 
     def write(self, name, born=None, **changes):
-        self.follower.set(self._store(name, make_entry(born, **changes)))
+        self.watcher.set(self._store(name, make_entry(born, **changes)))
 
     def remove(self, name, born=None):
-        self.follower.remove(self._store(name, make_entry(born)))
+        self.watcher.remove(self._store(name, make_entry(born)))
 
     def list(self, **specs):
         stored = [self._store(name, spec) for name, spec in specs.items()]
-        self.follower.replace_all(tuple(stored))
+        self.watcher.replace_all(tuple(stored))
 
     def find(self, endpoint="e", now=0.0):
         return self.table.list_views(endpoint, now)
@@ -73,23 +73,23 @@
 def load_with_failures(table, view, now=10.0):
     """Send a request to a runner and record every kind of failure there."""
     attempt = object()
-    table.note_sent(view, 500, attempt, 0, now)
-    table.note_load(view, 8, 3, now)
-    table.note_answer(view, 4.0, now)
-    table.note_prefix("part", view, now)
-    table.note_wait(view, 2.0, True, now)
-    table.note_full(view, now)
-    table.note_failure(view, now, certain=True)
+    table.record_sent(view, 500, attempt, 0, now)
+    table.record_load_report(view, 8, 3, now)
+    table.record_success(view, 4.0, now)
+    table.record_prefix("part", view, now)
+    table.record_prefill_wait(view, 2.0, True, now)
+    table.record_rejection(view, now)
+    table.record_failure(view, now, certain=True)
     return attempt
 
 
 def is_clean(view, now=10.0):
-    loads = view.estimate_load(now), view.estimate_unread(100.0, now)
+    loads = view.estimate_load(now), view.estimate_prefill_backlog(100.0, now)
     return (
         loads == (0, 0)
         and view.estimate_wait(0, now) == 0.0
-        and view.is_rested(now)
-        and not (view.latency or view.failing or view.ejection)
+        and view.is_available(now)
+        and not (view.latency or view.failure_rate or view.ejection_seconds)
     )
 
 
@@ -97,60 +97,62 @@
     """A runner was full, slow and failing when it crashed. Its next incarnation under
     the same name is idle and healthy, and must not stay ejected while callers wait
     elsewhere."""
-    watched = Listed()
+    watched = WatchedRunners()
     watched.write("i-0", OLD)
     (before,) = watched.find()
     load_with_failures(watched.table, before)
     watched.write("i-0", NEW, seq=1)
     (view,) = watched.find()
     assert is_clean(view)
-    assert watched.table.find_runner_with_prefix("part", 10.1) != view.runner.life
+    assert (
+        watched.table.find_runner_with_prefix("part", 10.1) != view.runner.incarnation
+    )
 
 
 async def test_late_results_of_an_ended_incarnation_do_not_affect_the_next():
     """Requests sent to a crashed incarnation end after the next one is listed. Each
     would lower the new incarnation's load, or eject it for failures it didn't cause."""
-    watched = Listed()
+    watched = WatchedRunners()
     watched.write("i-0", OLD)
     (before,) = watched.find()
     attempt = load_with_failures(watched.table, before)
     watched.write("i-0", NEW)
     table = watched.table
-    table.note_begun(before, 500, attempt)
-    table.note_ended(before)
-    assert not table.note_failure(before, 11.0, certain=True)
-    assert not table.note_silence(before, 12.5)
-    table.note_prefix("part", before, 12.5)
-    table.note_full(before, 12.5)
+    table.record_prefill_end(before, 500, attempt)
+    table.record_finished(before)
+    assert not table.record_failure(before, 11.0, certain=True)
+    assert not table.record_timeout(before, 12.5)
+    table.record_prefix("part", before, 12.5)
+    table.record_rejection(before, 12.5)
     (view,) = watched.find()
     assert is_clean(view, 12.5)
-    assert table.is_rested(view, 12.5)
-    assert table.find_runner_with_prefix("part", 12.5) != view.runner.life
+    assert table.is_available(view, 12.5)
+    assert table.find_runner_with_prefix("part", 12.5) != view.runner.incarnation
 
 
 async def test_answer_of_an_ended_incarnation_does_not_end_a_partition():
     """The answer was sent before the partition. If it counted as a sign that the
     data centre is reachable, each of its unreachable runners would cost a caller a
     timeout."""
-    watched = Listed()
+    watched = WatchedRunners()
     watched.write("i-0", OLD)
     (before,) = watched.find()
     watched.write("i-0", NEW)
     (view,) = watched.find()
-    assert watched.table.note_silence(view, 20.0)
-    watched.table.note_answer(before, 0.1, 20.1)
-    assert not watched.table.is_rested(view, 20.2)
+    assert watched.table.record_timeout(view, 20.0)
+    watched.table.record_success(before, 0.1, 20.1)
+    assert not watched.table.is_available(view, 20.2)
 
 
 async def test_late_entry_of_an_earlier_incarnation_is_ignored():
     """The store applies a write of an ended incarnation seconds late. The next
     incarnation would count as draining, or get requests at an address without
     listener."""
-    watched = Listed()
+    watched = WatchedRunners()
     watched.write("i-0", NEW)
     (view,) = watched.find()
     attempt = object()
-    watched.table.note_sent(view, 500, attempt, 0, 10.0)
+    watched.table.record_sent(view, 500, attempt, 0, 10.0)
     watched.write("i-0", OLD, state="draining", address="127.0.0.1:9", seq=900)
     watched.write("i-0", None, state="draining")
     watched.remove("i-0", OLD)
@@ -162,7 +164,7 @@
 async def test_late_entry_does_not_restore_a_pruned_incarnation():
     """Both incarnations of a runner have ended and the relay has pruned it. Then a
     write of the first one is applied: requests would be sent to no process."""
-    watched = Listed()
+    watched = WatchedRunners()
     watched.write("i-0", OLD)
     watched.write("i-0", NEW)
     watched.table.remove_runner("i-0", 10.0)
@@ -173,7 +175,7 @@
 
 
 async def test_draining_incarnation_does_not_drain_the_next():
-    watched = Listed()
+    watched = WatchedRunners()
     watched.write("i-0", OLD, state="draining")
     assert watched.find() == []
     watched.write("i-0", NEW)
@@ -183,7 +185,7 @@
 async def test_incarnation_at_another_endpoint_gets_no_requests_of_the_former_one():
     """A runner restarts for another service. Calls for the first service would be run
     by the wrong one."""
-    watched = Listed()
+    watched = WatchedRunners()
     watched.write("i-0", OLD)
     watched.write("i-0", NEW, service="other")
     assert watched.find("e") == []
@@ -207,7 +209,7 @@
 
 
 async def check_newest_incarnation(changes):
-    watched = Listed()
+    watched = WatchedRunners()
     newest, entry = 0, None
     for step, start, state, service in changes:
         spec = {"state": state, "service": service}
@@ -229,7 +231,7 @@
 
 @pytest.mark.parametrize("born", [None, True, "1700000000000", 1.5, -1, 0, [], {}])
 async def test_entry_with_an_invalid_start_is_no_runner(born):
-    watched = Listed()
+    watched = WatchedRunners()
     watched.write("i-0", OLD)
     watched.list(**{"i-0": make_entry(OLD), "i-1": make_entry() | {"born": born}})
     assert [view.runner.name for view in watched.find()] == ["i-0"]
@@ -250,7 +252,7 @@
 
 
 async def test_entries_without_a_start_are_accepted():
-    watched = Listed()
+    watched = WatchedRunners()
     watched.write("i-0")
     assert len(watched.find()) == 1
     watched.write("i-0", OLD)
@@ -263,9 +265,9 @@
     suspects = [Suspects() for _ in range(CRASHES)]
     lines = []
     for number, relay in enumerate(suspects):
-        life = f"i-0@{OLD + number}"
-        relay.note_break(life, "bad", number)
-        lines += relay.note_crash(life, number + 0.1)
+        incarnation = f"i-0@{OLD + number}"
+        relay.note_break(incarnation, "bad", number)
+        lines += relay.note_crash(incarnation, number + 0.1)
     for line in lines:
         suspects[0].hear([line], 5.0)
     assert suspects[0].blocks("bad", 6.0)
@@ -289,14 +291,14 @@
     runner = ScriptedRunner(counting.respond)
     configuration = make_configuration(make_route(Repetition.ONCE))
     async with run_relay(configuration, runner) as relay:
-        watched = Listed(relay.table)
+        watched = WatchedRunners(relay.table)
         watched.write("i-0", OLD, address=runner.address)
         for number in range(2):
             await relay.call(knapweedrail_request_id=f"old-{number}")
         watched.write("i-0", NEW, address=runner.address)
         for number in range(2):
             await relay.call(knapweedrail_request_id=f"new-{number}")
-        await relay.pool.prune(0.0, relay.table.list_lives())
+        await relay.pool.prune(0.0, relay.table.list_incarnations())
         assert sum(relay.pool.open_counts.values()) == 1
     first, second, third, fourth = counting.connections
     assert first == second and third == fourth
@@ -323,7 +325,7 @@
         attempts.clear()
         route = make_route(repetition, max_runners=2)
         async with run_relay(make_configuration(route), runner) as relay:
-            watched = Listed(relay.table)
+            watched = WatchedRunners(relay.table)
             watched.write("i-0", OLD, address=runner.address)
             assert (await relay.call()).status == 502
             assert len(attempts) == arrivals
@@ -344,7 +346,7 @@
     async with run_relay(
         make_configuration(make_route(Repetition.SAFE)), runner
     ) as relay:
-        watched = Listed(relay.table)
+        watched = WatchedRunners(relay.table)
         watched.write("i-0", OLD, address=runner.address)
         with anyio.fail_after(3):
             assert (await relay.call()).status == 200
@@ -371,7 +373,7 @@
     runner = ScriptedRunner(break_off)
     route = make_route(Repetition.SAFE)
     async with run_relay(make_configuration(route), runner) as relay:
-        watched = Listed(relay.table)
+        watched = WatchedRunners(relay.table)
         watched.write("i-0", OLD, address=runner.address)
         await relay.call()
     assert crashes == [(f"i-0@{NEW}", [])]
--- a/knapweedrail/tests/test_relay_pressure.py
+++ b/knapweedrail/tests/test_relay_overload.py
@@ -6,9 +6,13 @@
 import attrs
 import pytest
 
-from ..relay import connections, gateway, measures, pressure
+from ..relay import connections, gateway, measures, overload
 from ..relay.models import Repetition
-from ..relay.pressure import MIN_OUT_OF_ROTATION_SECONDS, TICK_SECONDS, Pressure
+from ..relay.overload import (
+    MIN_OUT_OF_ROTATION_SECONDS,
+    SAMPLE_INTERVAL_SECONDS,
+    OverloadMonitor,
+)
 from .relays_in_memory import (
     ScriptedRunner,
     answer_normally,
@@ -22,17 +26,17 @@
     """Record samples of the same delay; return the time after the last one."""
     end = now + seconds
     while now < end:
-        monitor.note_delay(delay, now)
-        now += TICK_SECONDS + delay
+        monitor.record_loop_delay(delay, now)
+        now += SAMPLE_INTERVAL_SECONDS + delay
     return now
 
 
 def test_idle_host_accepts_every_request():
-    monitor = Pressure()
+    monitor = OverloadMonitor()
     now = record_delays(monitor, 0.005, 10.0)
-    assert not monitor.is_out(now)
-    assert not monitor.is_late(now)
-    assert not any(monitor.refuses(random.Random(n), now) for n in range(100))
+    assert not monitor.is_out_of_rotation(now)
+    assert not monitor.may_cause_timeouts(now)
+    assert not any(monitor.should_shed(random.Random(n), now) for n in range(100))
 
 
 def test_late_event_loop_sheds_load_and_leaves_rotation():
@@ -40,40 +44,40 @@
     and its loop is three tenths of a second late. Without load shedding, every
     connection to a runner there would time out, and all its callers would be refused
     for as long as they come."""
-    monitor = Pressure()
+    monitor = OverloadMonitor()
     now = record_delays(monitor, 0.3, 1.5)
-    assert monitor.is_out(now)
-    refused = sum(monitor.refuses(random.Random(n), now) for n in range(1000))
+    assert monitor.is_out_of_rotation(now)
+    refused = sum(monitor.should_shed(random.Random(n), now) for n in range(1000))
     assert 400 < refused < 950
     # It accepts requests again once its loop is on time, and returns to rotation after
     # the load balancer has had time to notice.
     now = record_delays(monitor, 0.001, 1.0, now)
-    assert not monitor.refuses(random.Random(1), now)
+    assert not monitor.should_shed(random.Random(1), now)
     now = record_delays(monitor, 0.001, MIN_OUT_OF_ROTATION_SECONDS + 1.0, now)
-    assert not monitor.is_out(now)
+    assert not monitor.is_out_of_rotation(now)
 
 
 def test_stalled_process_stays_in_rotation():
     """A host freezes for five seconds. That isn't load, and taking the host out of
     rotation would deprive its callers of it a second time."""
-    monitor = Pressure()
-    monitor.note_delay(5.0, 10.0)
+    monitor = OverloadMonitor()
+    monitor.record_loop_delay(5.0, 10.0)
     now = record_delays(monitor, 0.001, 0.5, 10.0)
-    assert not monitor.is_out(now)
-    assert not monitor.refuses(random.Random(1), now)
+    assert not monitor.is_out_of_rotation(now)
+    assert not monitor.should_shed(random.Random(1), now)
 
 
 def test_some_requests_are_accepted_at_any_load():
-    monitor = Pressure()
+    monitor = OverloadMonitor()
     now = record_delays(monitor, 1.0, 60.0)
-    assert not all(monitor.refuses(random.Random(n), now) for n in range(100))
+    assert not all(monitor.should_shed(random.Random(n), now) for n in range(100))
 
 
 def record_connects(monitor, seconds, count, now=0.0, pause=0.02):
     """Record connections of the same duration; return the time after the last one."""
     for number in range(count):
         now += pause
-        monitor.note_connection(f"i-{number}", seconds, now)
+        monitor.record_connect_time(f"i-{number}", seconds, now)
     return now
 
 
@@ -82,36 +86,36 @@
     carries sixty, so every packet queues behind earlier ones. Without load shedding,
     answers would arrive after ten seconds, when callers have given up, and all runners
     would look dead from there."""
-    monitor = Pressure()
+    monitor = OverloadMonitor()
     now = record_connects(monitor, 0.2, 20)
-    assert monitor.is_out(now)
-    refused = sum(monitor.refuses(random.Random(n), now) for n in range(1000))
+    assert monitor.is_out_of_rotation(now)
+    refused = sum(monitor.should_shed(random.Random(n), now) for n in range(1000))
     assert 300 < refused < 800
-    assert monitor.is_late(now)
+    assert monitor.may_cause_timeouts(now)
     # With fewer requests the link's queue drains, and nothing is shed any more.
     now = record_connects(monitor, 0.003, 20, now)
-    assert not any(monitor.refuses(random.Random(n), now) for n in range(100))
+    assert not any(monitor.should_shed(random.Random(n), now) for n in range(100))
 
 
 def test_link_is_tried_again_after_saturation():
     """No connections are made while all requests are shed, so no sample would show that
     the link has capacity again."""
-    monitor = Pressure()
+    monitor = OverloadMonitor()
     now = record_connects(monitor, 0.25, 50)
-    assert monitor.refuses(random.Random(1), now)
-    assert not any(monitor.refuses(random.Random(n), now + 3.0) for n in range(100))
+    assert monitor.should_shed(random.Random(1), now)
+    assert not any(monitor.should_shed(random.Random(n), now + 3.0) for n in range(100))
 
 
 def test_two_unreachable_runners_are_not_a_saturated_link():
     """Two runners lose power while twenty requests are connecting to them, and all
     other connections come from the pool. Relays that reach all other runners must not
     turn callers away for this."""
-    monitor = Pressure()
+    monitor = OverloadMonitor()
     for number in range(20):
         now = 0.25 + 0.01 * number
-        monitor.note_connection(f"i-{number % 2}", 0.25, now)
-        assert not monitor.refuses(random.Random(1), now)
-        assert not monitor.is_out(now)
+        monitor.record_connect_time(f"i-{number % 2}", 0.25, now)
+        assert not monitor.should_shed(random.Random(1), now)
+        assert not monitor.is_out_of_rotation(now)
 
 
 @pytest.mark.anyio
@@ -124,12 +128,12 @@
         make_configuration(route), ScriptedRunner(answer_normally)
     ) as relay:
         view = relay.table.list_views("e", 0.0)[0]
-        relay.gateway._services.pressure._fast_delay = 0.1
+        relay.gateway._services.overload._fast_delay = 0.1
         monkeypatch.setattr(connections, "CONNECT_SECONDS", 0.0)
         answer = await relay.call()
         assert answer.status == 503
-        assert view.is_rested(float("inf")) or view.ejected_until < 0
-        assert view.failing == 0.0
+        assert view.is_available(float("inf")) or view.ejected_until < 0
+        assert view.failure_rate == 0.0
 
 
 @pytest.mark.anyio
@@ -138,7 +142,7 @@
     async with run_relay(
         make_configuration(route), ScriptedRunner(answer_normally)
     ) as relay:
-        relay.gateway._services.pressure._fast_delay = 60.0
+        relay.gateway._services.overload._fast_delay = 60.0
         relay.gateway._services.rng.seed(3)
         answers = [await relay.call() for _ in range(20)]
     refused = [answer for answer in answers if answer.status == 503]
@@ -149,10 +153,10 @@
 
 @pytest.mark.anyio
 async def test_event_loop_delay_is_measured():
-    monitor = Pressure()
-    with anyio.move_on_after(5 * pressure.TICK_SECONDS):
+    monitor = OverloadMonitor()
+    with anyio.move_on_after(5 * overload.SAMPLE_INTERVAL_SECONDS):
         await measures.RelayMeasures().watch_delay(monitor)
-    assert 0 < monitor.delay < 0.2
+    assert 0 < monitor.loop_delay < 0.2
 
 
 @pytest.mark.anyio
@@ -168,7 +172,7 @@
         view = relay.table.list_views("e", 0.0)[0]
         services = relay.gateway._services
         samples = []
-        services.pressure.note_connection = lambda *sample: samples.append(sample)
+        services.overload.record_connect_time = lambda *sample: samples.append(sample)
         await relay.call()
         assert len(samples) == 1
         view.runner = attrs.evolve(view.runner, data_centre="elsewhere")
@@ -185,7 +189,7 @@
     async with run_relay(
         make_configuration(route), ScriptedRunner(answer_normally)
     ) as relay:
-        relay.gateway._services.pressure._fast_delay = 60.0
+        relay.gateway._services.overload._fast_delay = 60.0
         receive_body = gateway.receive_body
         received = []
 
--- a/knapweedrail/tests/test_relay_patience.py
+++ b/knapweedrail/tests/test_relay_queue_wait.py
@@ -7,7 +7,11 @@
 import pytest
 
 from ..relay.models import Repetition
-from ..relay.patience import MAX_WAIT_FACTOR, find_wait, plan_return
+from ..relay.queue_wait import (
+    MAX_WAIT_FACTOR,
+    compute_retry_after,
+    estimate_shortest_wait,
+)
 from ..relay.runners import RunnerTable
 from .relays_in_memory import (
     ScriptedRunner,
@@ -41,7 +45,7 @@
 
     def __init__(self, unbounded):
         self.unbounded = unbounded
-        self.table = RunnerTable(doubt=1.9)
+        self.table = RunnerTable(grace_seconds=1.9)
         self.table.set_runner(make_runner("i-0"))
         self.view = self.table.list_views("e", 0.0)[0]
         self.free_at = 0.0
@@ -52,15 +56,15 @@
 
     def arrive(self, now):
         self._prefill(now)
-        wait = find_wait([self.view], 0, now)
-        retry_after = plan_return(
+        wait = estimate_shortest_wait([self.view], 0, now)
+        retry_after = compute_retry_after(
             wait, make_stream(OBJECTIVE_SECONDS), random.Random(1)
         )
         if not self.unbounded and retry_after is not None:
             self.refused += 1
             return
         attempt = object()
-        self.table.note_sent(self.view, 100, attempt, 0, now)
+        self.table.record_sent(self.view, 100, attempt, 0, now)
         self._queue.append((now, attempt))
 
     def _prefill(self, now):
@@ -71,8 +75,8 @@
                 return
             self._queue.pop(0)
             self.free_at = end
-            self.table.note_begun(self.view, 100, attempt)
-            self.table.note_wait(self.view, end - sent_at, False, end)
+            self.table.record_prefill_end(self.view, 100, attempt)
+            self.table.record_prefill_wait(self.view, end - sent_at, False, end)
             if end - sent_at > CALLER_TIMEOUT_SECONDS:
                 self.wasted_prefills += 1
             else:
@@ -106,44 +110,44 @@
 def test_hung_runner_does_not_block_idle_ones():
     """One runner hangs with a prompt waiting. The other runners are idle, so the next
     caller must not be refused."""
-    table = RunnerTable(doubt=1.9)
+    table = RunnerTable(grace_seconds=1.9)
     for name in ("i-0", "i-1"):
         table.set_runner(make_runner(name))
     views = table.list_views("e", 0.0)
-    table.note_sent(views[0], 100, object(), 0, 0.0)
-    assert find_wait(views, 0, 60.0) == 0.0
+    table.record_sent(views[0], 100, object(), 0, 0.0)
+    assert estimate_shortest_wait(views, 0, 60.0) == 0.0
 
 
 def test_observed_wait_decays_as_fast_as_a_queue_can_shrink():
     """This relay's last prompt at an overloaded runner was just abandoned. Prompts of
     other relays are still queued there, so the next one would wait as long."""
-    table = RunnerTable(doubt=1.9)
+    table = RunnerTable(grace_seconds=1.9)
     table.set_runner(make_runner("i-0"))
     views = table.list_views("e", 0.0)
-    table.note_wait(views[0], 2.0, True, 2.0)
-    assert find_wait(views, 0, 2.5) == 1.5
-    assert find_wait(views, 0, 4.0) == 0.0
+    table.record_prefill_wait(views[0], 2.0, True, 2.0)
+    assert estimate_shortest_wait(views, 0, 2.5) == 1.5
+    assert estimate_shortest_wait(views, 0, 4.0) == 0.0
 
 
 def test_wait_of_a_finished_long_prompt_counts_only_while_others_wait():
     """The prefill of a long prompt took half a second at the only engine. Nothing is
     queued there any more, so the next caller must not be refused."""
-    table = RunnerTable(doubt=1.9)
+    table = RunnerTable(grace_seconds=1.9)
     table.set_runner(make_runner("i-0"))
     views = table.list_views("e", 0.0)
-    table.note_wait(views[0], 0.6, False, 1.0)
-    assert find_wait(views, 0, 1.1) == 0.0
-    table.note_load(views[0], running=4, waiting=3, now=1.0)
-    assert find_wait(views, 0, 1.1) == pytest.approx(0.5)
+    table.record_prefill_wait(views[0], 0.6, False, 1.0)
+    assert estimate_shortest_wait(views, 0, 1.1) == 0.0
+    table.record_load_report(views[0], running=4, waiting=3, now=1.0)
+    assert estimate_shortest_wait(views, 0, 1.1) == pytest.approx(0.5)
 
 
 def test_less_urgent_prompts_do_not_delay_urgent_ones():
-    table = RunnerTable(doubt=1.9)
+    table = RunnerTable(grace_seconds=1.9)
     table.set_runner(make_runner("i-0"))
     views = table.list_views("e", 0.0)
-    table.note_sent(views[0], 100, object(), 3, 0.0)
-    assert find_wait(views, 1, 5.0) == 0.0
-    assert find_wait(views, 3, 5.0) == 5.0
+    table.record_sent(views[0], 100, object(), 3, 0.0)
+    assert estimate_shortest_wait(views, 1, 5.0) == 0.0
+    assert estimate_shortest_wait(views, 3, 5.0) == 5.0
 
 
 async def test_prompt_that_cannot_start_in_time_is_refused_at_once():
--- a/knapweedrail/tests/test_relay_selection.py
+++ b/knapweedrail/tests/test_relay_selection.py
@@ -11,7 +11,7 @@
 
 
 def make_table(count=6, slots=8, centres=3):
-    table = RunnerTable(doubt=1.9)
+    table = RunnerTable(grace_seconds=1.9)
     for number in range(count):
         centre = f"dc-{number % centres}"
         table.set_runner(make_runner(f"i-{number}", data_centre=centre, slots=slots))
@@ -59,7 +59,7 @@
     counts = collections.Counter()
     for _ in range(60):
         view = choose(table, make_request("base", "farm-7", "own"))
-        table.note_sent(view, 0, object(), 0, 0.0)
+        table.record_sent(view, 0, object(), 0, 0.0)
         counts[view.runner.name] += 1
     assert len(counts) >= 4
     assert max(counts.values()) <= 2 * 60 / 6
@@ -82,7 +82,7 @@
     counts = collections.Counter()
     for _ in range(15):
         view = choose(table, make_request())
-        table.note_sent(view, 0, object(), 0, 0.0)
+        table.record_sent(view, 0, object(), 0, 0.0)
         counts[view.runner.name] += 1
     assert sorted(counts.values()) == [5, 5, 5]
 
@@ -94,11 +94,11 @@
     for number in range(3):
         view = find_view(table, f"i-{number}")
         for _ in range(5):
-            table.note_answer(view, 0.8 if number == 0 else 0.1, 0.0)
+            table.record_success(view, 0.8 if number == 0 else 0.1, 0.0)
     counts = collections.Counter()
     for _ in range(18):
         view = choose(table, make_request())
-        table.note_sent(view, 0, object(), 0, 0.0)
+        table.record_sent(view, 0, object(), 0, 0.0)
         counts[view.runner.name] += 1
     assert counts["i-0"] <= 2
 
@@ -106,7 +106,7 @@
 def test_runner_backs_off_after_a_rejection():
     table = make_table(count=2)
     view = choose(table, make_request("a", "b"))
-    table.note_full(view, 0.0)
+    table.record_rejection(view, 0.0)
     assert choose(table, make_request("a", "b"), now=0.05) is not view
     assert choose(table, make_request("a", "b"), now=1.0) is view
 
@@ -117,9 +117,9 @@
     table = make_table(count=3)
     view = find_view(table, "i-0")
     ejected = [
-        table.note_failure(view, n, certain=False)
+        table.record_failure(view, n, certain=False)
         if n % 33 == 0
-        else table.note_answer(view, 0.1, n)
+        else table.record_success(view, 0.1, n)
         for n in range(300)
     ]
     assert not any(ejected)
@@ -133,10 +133,10 @@
     rng = random.Random(3)
     for n in range(60):
         if rng.random() < 0.7:
-            table.note_failure(view, n * 0.01, certain=False)
+            table.record_failure(view, n * 0.01, certain=False)
         else:
-            table.note_answer(view, 0.1, n * 0.01)
-    assert not table.is_rested(view, 0.6)
+            table.record_success(view, 0.1, n * 0.01)
+    assert not table.is_available(view, 0.6)
 
 
 def test_an_ejected_runner_is_used_when_all_are_ejected():
@@ -144,7 +144,7 @@
     into an outage."""
     table = make_table(count=2)
     for name in ("i-0", "i-1"):
-        table.note_failure(find_view(table, name), 0.0, certain=True)
+        table.record_failure(find_view(table, name), 0.0, certain=True)
     assert choose(table, make_request(), now=0.1) is not None
 
 
@@ -153,7 +153,7 @@
     would cost a caller a timeout."""
     table = make_table(count=6)
     view = find_view(table, "i-1")
-    assert table.note_silence(view, 10.0)
+    assert table.record_timeout(view, 10.0)
     chosen = {
         choose(table, make_request("a", f"f-{n}", "x"), now=10.5).runner.data_centre
         for n in range(50)
@@ -171,14 +171,14 @@
     show when the partition began, not each timeout."""
     table = make_table(count=6)
     view = find_view(table, "i-1")
-    reported = [table.note_silence(view, 10.0 + step / 10) for step in range(20)]
+    reported = [table.record_timeout(view, 10.0 + step / 10) for step in range(20)]
     assert reported == [True] + 19 * [False]
 
 
 def test_one_unreachable_runner_does_not_stop_its_data_centre():
     table = make_table(count=6)
-    table.note_answer(find_view(table, "i-4"), 0.1, 9.8)
-    assert not table.note_silence(find_view(table, "i-1"), 10.0)
+    table.record_success(find_view(table, "i-4"), 0.1, 9.8)
+    assert not table.record_timeout(find_view(table, "i-1"), 10.0)
 
 
 def test_unlisted_runners_are_used_during_the_grace_period():
--- a/knapweedrail/tests/test_relay_successors.py
+++ b/knapweedrail/tests/test_relay_successors.py
@@ -4,7 +4,7 @@
 import attrs
 import pytest
 
-from ..relay.models import Endpoint, Repetition, RunnerLife
+from ..relay.models import Endpoint, Repetition, RunnerIncarnation
 from ..relay.runners import RunnerTable
 from .relays_in_memory import (
     ScriptedRunner,
@@ -146,7 +146,7 @@
 
 def make_presumed(table):
     table.set_runner(make_runner("i-0"))
-    assert table.succeed(RunnerLife("i-0"), make_runner("i-9"), 10.0)
+    assert table.add_successor(RunnerIncarnation("i-0"), make_runner("i-9"), 10.0)
 
 
 def list_names(table, now):
@@ -156,28 +156,28 @@
 def test_unlisted_successor_is_removed_after_a_list():
     """Guards against failing attempts at a runner that replaced another one and then
     crashed for good, all in one outage. The list has no entry for it."""
-    table = RunnerTable(doubt=1.9)
+    table = RunnerTable(grace_seconds=1.9)
     make_presumed(table)
     assert list_names(table, 30.0) == ["i-9"]
-    table.note_list(31.0)
+    table.mark_successors_absent(31.0)
     assert list_names(table, 32.0) == ["i-9"]
     assert list_names(table, 33.0) == []
     assert [runner.name for runner in table.prune(33.0)] == ["i-0", "i-9"]
 
 
 def test_listed_successor_stays():
-    table = RunnerTable(doubt=1.9)
+    table = RunnerTable(grace_seconds=1.9)
     make_presumed(table)
-    table.note_list(31.0)
+    table.mark_successors_absent(31.0)
     table.set_runner(make_runner("i-9"))
     assert list_names(table, 99.0) == ["i-9"]
 
 
 def test_ended_successor_is_removed():
-    table = RunnerTable(doubt=1.9)
+    table = RunnerTable(grace_seconds=1.9)
     make_presumed(table)
     table.remove_runner("i-9", 20.0)
-    table.note_list(21.0)
+    table.mark_successors_absent(21.0)
     assert list_names(table, 30.0) == []
 
 
@@ -218,9 +218,9 @@
     """Guards against removing a listed incarnation by a late report. The runner has
     restarted at another address, and its previous address was given to another
     runner."""
-    table = RunnerTable(doubt=1.9)
+    table = RunnerTable(grace_seconds=1.9)
     table.set_runner(make_runner("i-0", started=OLD))
-    ended = table.find_runner("i-0").life
+    ended = table.find_runner("i-0").incarnation
     table.set_runner(make_runner("i-0", "127.0.0.1:2", started=NEW))
-    assert table.succeed(ended, make_runner("i-9", started=NEW), 10.0)
+    assert table.add_successor(ended, make_runner("i-9", started=NEW), 10.0)
     assert list_names(table, 10.0) == ["i-0", "i-9"]
