--- a/knapweedrail/benches/news.py
+++ b/knapweedrail/benches/news.py
@@ -193,7 +193,7 @@
 
 def list_watchers(fleet: NewsFleet) -> list[str]:
     """Return the hosts that others rely on."""
-    return [host for host, relay in fleet.relays.items() if relay.news.is_followed]
+    return [host for host, relay in fleet.relays.items() if relay.news.has_subscribers]
 
 
 async def change_on(fleet: NewsFleet, seconds: float = FAULT_SECONDS) -> float:
--- a/knapweedrail/platform/relays.py
+++ b/knapweedrail/platform/relays.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 
 from ..relay.daemons import VANISHED_GRACE_SECONDS, Relay
-from ..relay.followers import ConfigurationFollower, RunnerFollower
 from ..relay.malformed import MalformedObjects
 from ..relay.measures import InstrumentedStore, RelayMeasures
 from ..relay.members import MEMBER_KIND
 from ..relay.options import RelaySettings
-from ..relay.reach import StoreReach
 from ..relay.runners import RunnerTable
+from ..relay.store_probe import StoreProbe
 from ..relay.stores import Store
+from ..relay.watchers import ConfigurationWatcher, RunnerWatcher
 from . import names
 from .decoding import decode_configuration, decode_runner
 from .requests import PlatformCodec
@@ -51,10 +51,10 @@
 
 def make_followers(
     settings: RelaySettings, store: Store, malformed: MalformedObjects
-) -> tuple[ConfigurationFollower, RunnerFollower]:
+) -> tuple[ConfigurationWatcher, RunnerWatcher]:
     """Return the watchers of the configuration and of the list of runners."""
-    reach = StoreReach(store, MEMBER_KIND, settings.host)
-    configuration = ConfigurationFollower(
+    probe = StoreProbe(store, MEMBER_KIND, settings.host)
+    configuration = ConfigurationWatcher(
         store,
         names.CONFIGURATION_KIND,
         settings.configuration_watch_seconds,
@@ -62,10 +62,10 @@
         names.CONFIGURATION_NAME,
         settings.configuration_batch_seconds,
         malformed,
-        reach,
+        probe,
         settings.configuration_limit_seconds,
     )
-    runners = RunnerFollower(
+    runners = RunnerWatcher(
         store,
         names.RUNNERS_KIND,
         settings.runner_watch_seconds,
@@ -73,7 +73,7 @@
         RunnerTable(VANISHED_GRACE_SECONDS),
         settings.runner_batch_seconds,
         malformed,
-        reach,
+        probe,
         settings.runner_limit_seconds,
     )
     return configuration, runners
--- a/knapweedrail/relay/attempts.py
+++ b/knapweedrail/relay/attempts.py
@@ -414,7 +414,7 @@
         """Record that the runner has begun a valid answer."""
         context, now = self._context, time.monotonic()
         context.services.runners.record_success(self._view, now - began_at, now)
-        context.services.suspects.note_good(context.fingerprint, now)
+        context.services.suspects.record_success(context.fingerprint, now)
         self._record_prefill_end()
         self._record_prompt_wait(began_at, abandoned=False)
         if context.request.parts:
@@ -482,9 +482,11 @@
         if error.timed_out:
             self._record_unresponsive()
         if error.sent:
-            services.suspects.note_break(incarnation, self._context.fingerprint, now)
+            services.suspects.record_broken_request(
+                incarnation, self._context.fingerprint, now
+            )
             return
-        lines = services.suspects.note_crash(incarnation, now)
+        lines = services.suspects.record_crash(incarnation, now)
         if lines:
             log_event(Event.RUNNER_CRASHED, runner=incarnation, suspects=len(lines))
             services.send_suspects(lines)
--- a/knapweedrail/relay/daemons.py
+++ b/knapweedrail/relay/daemons.py
@@ -16,26 +16,26 @@
 from ..servers import HttpServer, ServerLimits
 from .codecs import Codec
 from .connections import ConnectionPool
-from .dialers import GrpcDialer
-from .followers import ConfigurationFollower, RunnerFollower
 from .gateway import Gateway
+from .grpc_links import GrpcDialer
 from .holdings import Holdings
 from .ledgers import name_holder
 from .malformed import MalformedObjects
 from .measures import InstrumentedStore, RelayMeasures, read_per_account
 from .members import Membership
 from .models import Configuration, Member
-from .neighbours import Neighbours, make_server
-from .news import NewsFeed
 from .options import RelaySettings
 from .overload import OverloadMonitor
+from .peers import PeerClient, make_server
 from .request_context import Services
 from .retries import RetryBudget
 from .shutdowns import Shutdown
 from .signals import Signal
-from .sources import NewsTiming
+from .sources import FeedTiming
 from .successors import Successors
 from .suspects import Suspects
+from .update_feed import UpdateFeed
+from .watchers import ConfigurationWatcher, RunnerWatcher
 
 VANISHED_GRACE_SECONDS = 1.9
 """Time for which a runner whose entry vanished may still be used when no other is
@@ -101,8 +101,8 @@
         settings: RelaySettings,
         listener: socket.socket,
         store: InstrumentedStore,
-        configuration: ConfigurationFollower,
-        runners: RunnerFollower,
+        configuration: ConfigurationWatcher,
+        runners: RunnerWatcher,
         codec: Codec,
         measures: RelayMeasures,
         malformed: MalformedObjects,
@@ -113,7 +113,7 @@
         self._configuration = configuration
         self._runners = runners
         self._pool = ConnectionPool()
-        self._neighbours = Neighbours()
+        self._peers = PeerClient()
         member = Member(
             settings.host,
             name_holder(settings.host, secrets.token_hex(4)),
@@ -123,23 +123,23 @@
         self._membership = Membership(store, member, malformed)
         self._holdings = Holdings(
             store,
-            self._neighbours,
+            self._peers,
             self._membership,
             lambda: configuration.configuration,
             malformed,
         )
-        self._news = NewsFeed(
+        self._update_feed = UpdateFeed(
             self._membership,
-            self._neighbours,
+            self._peers,
             GrpcDialer(),
             (configuration, runners),
-            NewsTiming(settings.beat_seconds, settings.silence_seconds),
+            FeedTiming(settings.beat_seconds, settings.silence_seconds),
             settings.first_start,
         )
         self._peer_server = make_server(
             self._holdings,
             self._receive_suspects,
-            self._news.serve,
+            self._update_feed.serve,
             settings.peer_address,
             self._receive_limits,
         )
@@ -207,7 +207,7 @@
             self._configuration,
             self._runners,
             self._membership,
-            self._news,
+            self._update_feed,
             self._holdings,
             self._successors,
         ):
@@ -216,7 +216,7 @@
         # outage of all hosts every caller is among them, and without this wait each
         # would be refused because of a configuration that arrives a moment later.
         with anyio.move_on_after(FIRST_CONFIGURATION_SECONDS):
-            await self._configuration.known.wait()
+            await self._configuration.loaded.wait()
         await self._caller_server.start(group)
         group.start_soon(self._store.report_calls)
         group.start_soon(self._prune)
@@ -244,7 +244,7 @@
         self._gateway.closing.closing_connections = True
         left = shutdown.answers_due_at + FLUSH_SECONDS - time.monotonic()
         await self._caller_server.close(max(FLUSH_SECONDS, left))
-        await self._news.close()
+        await self._update_feed.close()
         await self._membership.close()
         await self._holdings.close()
         await self._successors.close()
@@ -257,7 +257,7 @@
                 await self._holdings.release()
                 await self._membership.leave()
         with anyio.move_on_after(FLUSH_SECONDS):
-            await self._neighbours.close()
+            await self._peers.close()
             await self._peer_server.close()
         self._measures.close()
         self._store.log_call_counts()
@@ -336,10 +336,10 @@
             limits, self._limits = list(self._limits.values()), {}
             members = self._membership.list_others()
             if lines:
-                await self._neighbours.tell_suspects(members, lines)
+                await self._peers.send_suspects(members, lines)
             if limits:
                 random.shuffle(members)
-                await self._neighbours.tell_limits(members[:LIMIT_FANOUT], limits)
+                await self._peers.send_limits(members[:LIMIT_FANOUT], limits)
 
     def _tell_suspects(self, lines: list[str]) -> None:
         self._told.extend(lines)
@@ -356,7 +356,7 @@
                 self._queue_limit(news)
 
     def _receive_suspects(self, lines: list[str]) -> None:
-        self._suspects.hear(lines, time.monotonic())
+        self._suspects.merge(lines, time.monotonic())
 
     def _set_limits(self, configuration: Configuration) -> None:
         limits = configuration.limits
--- a/knapweedrail/relay/draws.py
+++ b/knapweedrail/relay/draws.py
@@ -314,7 +314,7 @@
             ledger = decode_account(stored.spec)
         except ValueError as error:
             now = time.monotonic()
-            self._malformed.note(
+            self._malformed.record(
                 LEDGER_KIND, stored.name, stored.revision, str(error), now
             )
             holding.unreadable_at = now
--- a/knapweedrail/relay/gateway.py
+++ b/knapweedrail/relay/gateway.py
@@ -11,7 +11,6 @@
 from ..events import Event, log_event
 from ..outcomes import Ran, Refusal, RefusalKind
 from .closings import Closing, took_its_time
-from .followers import ConfigurationFollower
 from .forwarding import Broken, RequestForwarder, draw_retry_after
 from .holdings import Holdings
 from .models import Account, CallerRequest, Malformed, Route
@@ -32,6 +31,7 @@
 from .routes import RouteTable, choose_endpoint
 from .streams import StreamProgress
 from .suspects import make_fingerprint
+from .watchers import ConfigurationWatcher
 
 
 @attrs.frozen
@@ -64,7 +64,7 @@
     def __init__(
         self,
         services: Services,
-        configuration: ConfigurationFollower,
+        configuration: ConfigurationWatcher,
         holdings: Holdings,
     ) -> None:
         self._services = services
--- a/knapweedrail/relay/dialers.py
+++ b/knapweedrail/relay/grpc_links.py
@@ -16,11 +16,11 @@
 from .links import (
     Dialer,
     EncodedUpdate,
-    FollowerLink,
+    FeedReply,
+    FeedRequest,
     LinkLostError,
-    Reading,
-    Telling,
-    WatcherLink,
+    SourceLink,
+    SubscriberLink,
 )
 from .models import Member
 
@@ -31,7 +31,7 @@
     """Opens each link over a connection of its own, closed together with the link."""
 
     @contextlib.asynccontextmanager
-    async def dial(self, member: Member) -> AsyncIterator[FollowerLink]:
+    async def dial(self, member: Member) -> AsyncIterator[SourceLink]:
         channel = Channel(*split_address(member.address))
         try:
             stream = RelaysStub(channel).FollowNews.open()
@@ -41,7 +41,7 @@
             channel.close()
 
 
-class GrpcSourceLink(FollowerLink):
+class GrpcSourceLink(SourceLink):
     """The subscriber's end of a link.
 
     Args:
@@ -51,14 +51,14 @@
     def __init__(self, stream: ClientStream) -> None:
         self._stream = stream
 
-    async def send(self, request: Reading) -> None:
+    async def send(self, request: FeedRequest) -> None:
         message = NewsRequest(
             clock=int(request.clock * MILLISECONDS), revisions=request.revisions
         )
         with _translate_errors():
             await self._stream.send_message(message)
 
-    async def receive(self) -> Telling:
+    async def receive(self) -> FeedReply:
         with _translate_errors():
             message = await self._stream.recv_message()
         if message is None:
@@ -73,23 +73,23 @@
             )
             for kind_news in message.kinds
         ]
-        return Telling(message.clock / MILLISECONDS, tuple(kinds))
+        return FeedReply(message.clock / MILLISECONDS, tuple(kinds))
 
 
-class GrpcSubscriberLink(WatcherLink):
+class GrpcSubscriberLink(SubscriberLink):
     """The source's end of a link."""
 
     def __init__(self, stream: Stream) -> None:
         self._stream = stream
 
-    async def receive(self) -> Reading:
+    async def receive(self) -> FeedRequest:
         with _translate_errors():
             message = await self._stream.recv_message()
         if message is None:
             raise LinkLostError("closed by the subscriber")
-        return Reading(message.clock / MILLISECONDS, dict(message.revisions))
+        return FeedRequest(message.clock / MILLISECONDS, dict(message.revisions))
 
-    async def send(self, reply: Telling) -> None:
+    async def send(self, reply: FeedReply) -> None:
         kinds = [
             KindNews(
                 kind=update.kind,
--- a/knapweedrail/relay/holdings.py
+++ b/knapweedrail/relay/holdings.py
@@ -23,7 +23,7 @@
 from .malformed import MalformedObjects
 from .members import Membership
 from .models import Account, Configuration
-from .neighbours import LEND_SECONDS, Neighbours, TokenLender, Trade, TradeAnswer
+from .peers import LEND_SECONDS, PeerClient, TokenLender, Trade, TradeAnswer
 from .reservations import Reservation, Shortage
 from .signals import Signal
 from .stores import Store
@@ -50,7 +50,7 @@
 
     Args:
         store: The platform's store.
-        neighbours: Client for the other relays.
+        peers: Client for the other relays.
         membership: The relays that take part.
         read_configuration: Returns the configuration in force, if one is known.
         malformed: Records ledgers that can't be decoded.
@@ -60,7 +60,7 @@
     def __init__(
         self,
         store: Store,
-        neighbours: Neighbours,
+        peers: PeerClient,
         membership: Membership,
         read_configuration: Callable[[], Configuration | None],
         malformed: MalformedObjects | None = None,
@@ -79,8 +79,8 @@
             self._clock,
             malformed,
         )
-        self._neighbours = neighbours
-        self._borrower = TokenBorrower(neighbours, membership, self._changed)
+        self._peers = peers
+        self._borrower = TokenBorrower(peers, membership, self._changed)
         self._by_account: dict[str, AccountHolding] = {}
         self._released = False
 
@@ -125,8 +125,8 @@
         return Shortage.OUT_OF_REACH
 
     async def answer_trade(self, trade: Trade) -> TradeAnswer:
-        self._neighbours.note_heard(trade.holder)
-        self._membership.note_caller(trade.holder)
+        self._peers.record_incoming_call(trade.holder)
+        self._membership.record_caller(trade.holder)
         holding = self._get(trade.account)
         allowance = holding.allowance
         if self._released:
@@ -174,7 +174,7 @@
             "prepaid": account.prepaid,
             "free": (account.prepaid or 0) - holding.ledger.committed,
             "held_elsewhere": holding.ledger.count_held(excluding=self._holder),
-            "held_by_ended": holding.ledger.count_ended(self._membership.is_present),
+            "held_by_ended": holding.ledger.count_ended(self._membership.is_current),
             "surely_used": holding.ledger.confirmed_used,
             "revision": holding.revision,
             "age": round(time.monotonic() - holding.seen_at, 2),
--- a/knapweedrail/relay/links.py
+++ b/knapweedrail/relay/links.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen
-class Reading:
+class FeedRequest:
     """Request of a subscriber; it also serves as its heartbeat.
 
     Attributes:
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class Telling:
+class FeedReply:
     """Reply of a source to a subscriber.
 
     Attributes:
@@ -60,30 +60,30 @@
     kinds: tuple[EncodedUpdate, ...]
 
 
-class FollowerLink(ABC):
+class SourceLink(ABC):
     """A subscriber's link to a source. Its calls raise `LinkLostError`.
 
     The subscriber sends a request first; there is no reply before.
     """
 
     @abstractmethod
-    async def send(self, request: Reading) -> None:
+    async def send(self, request: FeedRequest) -> None:
         """Send a request."""
 
     @abstractmethod
-    async def receive(self) -> Telling:
+    async def receive(self) -> FeedReply:
         """Wait for the next reply."""
 
 
-class WatcherLink(ABC):
+class SubscriberLink(ABC):
     """A source's link to a subscriber. Its calls raise `LinkLostError`."""
 
     @abstractmethod
-    async def receive(self) -> Reading:
+    async def receive(self) -> FeedRequest:
         """Wait for the next request."""
 
     @abstractmethod
-    async def send(self, reply: Telling) -> None:
+    async def send(self, reply: FeedReply) -> None:
         """Send a reply."""
 
 
@@ -91,5 +91,5 @@
     """Opens links to other relays."""
 
     @abstractmethod
-    def dial(self, member: Member) -> AbstractAsyncContextManager[FollowerLink]:
+    def dial(self, member: Member) -> AbstractAsyncContextManager[SourceLink]:
         """Open a link; an unreachable relay may only be noticed in the first call."""
--- a/knapweedrail/relay/loans.py
+++ b/knapweedrail/relay/loans.py
@@ -10,7 +10,7 @@
 from .grants import plan_borrow, plan_return
 from .members import Membership
 from .models import Member
-from .neighbours import Neighbours, Trade, TradeAnswer
+from .peers import PeerClient, Trade, TradeAnswer
 from .reservations import Shortage
 from .signals import Signal
 
@@ -23,15 +23,15 @@
     """Borrows tokens for this relay.
 
     Args:
-        neighbours: Client for the other relays.
+        peers: Client for the other relays.
         membership: The relays that take part.
         changed: Notified whenever balances may have changed.
     """
 
     def __init__(
-        self, neighbours: Neighbours, membership: Membership, changed: Signal
+        self, peers: PeerClient, membership: Membership, changed: Signal
     ) -> None:
-        self._neighbours = neighbours
+        self._peers = peers
         self._membership = membership
         self._changed = changed
         self._holder = membership.member.holder
@@ -64,7 +64,7 @@
         now = time.monotonic()
         tokens = plan_return(allowance.available, allowance.demand, now)
         lenders = self._membership.list_lenders(holding.name)
-        lenders = [m for m in lenders if not self._neighbours.is_avoided(m, now)]
+        lenders = [m for m in lenders if not self._peers.is_in_backoff(m, now)]
         if not tokens or not lenders:
             return
         await self.give_back(holding, lenders[0], tokens)
@@ -88,7 +88,7 @@
             unacknowledged = loan.returned > loan.acknowledged
             unreported = idle and loan.spent > loan.reported
             if unacknowledged or unreported or member.host in holding.unconfirmed_hosts:
-                if not self._neighbours.is_avoided(member, time.monotonic()):
+                if not self._peers.is_in_backoff(member, time.monotonic()):
                     await self._trade(holding, member)
 
     async def prompt_settlements(self, holding: AccountHolding) -> None:
@@ -99,7 +99,7 @@
         """
         now = time.monotonic()
         for holder, grant in list(holding.ledger.grants.items()):
-            member = self._membership.find_later(holder)
+            member = self._membership.find_current_incarnation(holder)
             if member is None or not member.address or grant.tokens <= grant.spent:
                 continue
             if member.holder == self._holder:
@@ -109,7 +109,7 @@
                 < SETTLEMENT_PROMPT_SECONDS
             ):
                 continue
-            if not self._neighbours.is_avoided(member, now):
+            if not self._peers.is_in_backoff(member, now):
                 holding.prompted_at[holder] = now
                 await self._trade(holding, member)
 
@@ -142,10 +142,10 @@
             # ledger for tokens that the first has just found missing there.
             if member.data_centre in answered:
                 continue
-            if self._neighbours.is_avoided(member, now):
+            if self._peers.is_in_backoff(member, now):
                 continue
             answered.add(member.data_centre)
-            known = self._neighbours.recall_shortage(member, holding.name, now)
+            known = self._peers.find_recent_shortage(member, holding.name, now)
             if known is not None:
                 shortage = known
                 continue
@@ -177,13 +177,13 @@
         # Until the relay has answered it may have lent tokens, even if no request waits
         # for them any more.
         holding.unconfirmed_hosts.add(member.host)
-        answer = await self._neighbours.trade(member, trade)
+        answer = await self._peers.trade(member, trade)
         if answer is None:
             return None
         holding.unconfirmed_hosts.discard(member.host)
         holding.allowance.borrow(answer.lender, answer.total)
         if answer.lender != member.holder:
-            self._membership.note_life(member, answer.lender)
+            self._membership.update_incarnation(member, answer.lender)
         elif loan is not None:
             loan.acknowledge(trade.returned, trade.spent)
         self._changed.give()
--- a/knapweedrail/relay/malformed.py
+++ b/knapweedrail/relay/malformed.py
@@ -34,7 +34,9 @@
         self._window_ends_at = -math.inf
         self._window_lines = 0
 
-    def note(self, kind: str, name: str, revision: int, error: str, now: float) -> None:
+    def record(
+        self, kind: str, name: str, revision: int, error: str, now: float
+    ) -> None:
         """Record that an object can't be used.
 
         Args:
--- a/knapweedrail/relay/members.py
+++ b/knapweedrail/relay/members.py
@@ -53,7 +53,7 @@
 one more while the primary restarts or is partitioned."""
 
 
-def compute_pause(relays: int) -> float:
+def compute_list_interval(relays: int) -> float:
     """Return the pause between two lists of the relays, seconds.
 
     Args:
@@ -191,23 +191,23 @@
         standing = self._senders.find_standing(runner, rate)
         return standing if self.settled else attrs.evolve(standing, sends=False)
 
-    def note_life(self, known: Member, holder: str) -> None:
+    def update_incarnation(self, known: Member, holder: str) -> None:
         """Record that another incarnation of a relay answered than the known one."""
         if self._members.get(known.host) == known:
             self._members[known.host] = attrs.evolve(known, holder=holder)
 
-    def find_later(self, holder: str) -> Member | None:
+    def find_current_incarnation(self, holder: str) -> Member | None:
         """Return the current incarnation on a holder's host if it is another one."""
         member = self._members.get(get_host(holder))
         return member if member is not None and member.holder != holder else None
 
-    def note_caller(self, holder: str) -> None:
+    def record_caller(self, holder: str) -> None:
         """Record a call from a relay, whose incarnation may not be listed yet."""
-        known = self.find_later(holder)
+        known = self.find_current_incarnation(holder)
         if known is not None:
-            self.note_life(known, holder)
+            self.update_incarnation(known, holder)
 
-    def is_present(self, holder: str) -> bool:
+    def is_current(self, holder: str) -> bool:
         """Return whether a holder is the last known incarnation of a relay."""
         member = self._members.get(get_host(holder))
         return member is not None and member.holder == holder
@@ -219,7 +219,7 @@
         return self._planned_sources
 
     async def run(self) -> None:
-        while not await self._list(stale=True):
+        while not await self._refresh(stale=True):
             await anyio.sleep(RETRY_SECONDS)
         self.first_listed.set()
         while not await self._register():
@@ -229,8 +229,10 @@
         self.settled = True
         log_event(Event.RELAYS_LISTED, relays=self.count, settled=True)
         while True:
-            await anyio.sleep(compute_pause(self.count) * random.uniform(0.8, 1.2))
-            await self._list(stale=True)
+            await anyio.sleep(
+                compute_list_interval(self.count) * random.uniform(0.8, 1.2)
+            )
+            await self._refresh(stale=True)
             if self._own_entry_malformed:
                 # Relays that start later can't decode the entry and wouldn't know this
                 # relay.
@@ -244,11 +246,11 @@
         shown = 0
         for _ in range(MAX_STALE_LISTS):
             await anyio.sleep(SETTLE_SECONDS)
-            if await self._list(stale=True) and self._own_entry_listed:
+            if await self._refresh(stale=True) and self._own_entry_listed:
                 shown += 1
             if shown == LISTS_UNTIL_SETTLED:
                 return
-        while not await self._list(stale=False):
+        while not await self._refresh(stale=False):
             await anyio.sleep(RETRY_SECONDS)
 
     async def leave(self) -> None:
@@ -277,7 +279,7 @@
                 self._revision = None
         return isinstance(outcome, Written)
 
-    async def _list(self, stale: bool) -> bool:
+    async def _refresh(self, stale: bool) -> bool:
         began_at = time.monotonic()
         outcome = await self._store.list_kind(MEMBER_KIND, stale=stale)
         if not isinstance(outcome, Listing):
@@ -310,7 +312,7 @@
             return decode_member(stored.name, stored.spec)
         except ValueError as error:
             now = time.monotonic()
-            self._malformed.note(
+            self._malformed.record(
                 MEMBER_KIND, stored.name, stored.revision, str(error), now
             )
             if stored.name == self.member.host:
--- a/knapweedrail/relay/neighbours.py
+++ b/knapweedrail/relay/peers.py
@@ -31,8 +31,8 @@
     TradeReply,
     TradeRequest,
 )
-from .dialers import GrpcSubscriberLink
-from .links import WatcherLink
+from .grpc_links import GrpcSubscriberLink
+from .links import SubscriberLink
 from .models import Member
 from .reservations import Shortage
 
@@ -133,7 +133,7 @@
 LimitsHandler = Callable[[list[LimitNews]], None]
 """Handles another relay's report of limits of runners."""
 
-FeedHandler = Callable[[WatcherLink], Awaitable[None]]
+FeedHandler = Callable[[SubscriberLink], Awaitable[None]]
 """Serves updates of the store to a subscriber."""
 
 
@@ -145,7 +145,7 @@
         """Take back the tokens that another relay returns, and lend what it needs."""
 
 
-class Neighbours:
+class PeerClient:
     """Client for calls to the other relays, with a backoff for each of them."""
 
     def __init__(self) -> None:
@@ -155,7 +155,7 @@
             tuple[str, str], tuple[float, Shortage | None]
         ] = {}
 
-    def is_avoided(self, member: Member, now: float) -> bool:
+    def is_in_backoff(self, member: Member, now: float) -> bool:
         """Return whether a relay's present incarnation failed to answer recently.
 
         Args:
@@ -166,13 +166,13 @@
             return False
         return now < backoff.ends_at
 
-    def note_heard(self, holder: str) -> None:
+    def record_incoming_call(self, holder: str) -> None:
         """Record a call from a relay: it is reachable, which ends its backoff."""
         for address, backoff in list(self._backoffs.items()):
             if backoff.holder == holder:
                 del self._backoffs[address]
 
-    def recall_shortage(
+    def find_recent_shortage(
         self, member: Member, account: str, now: float
     ) -> Shortage | None:
         """Return why a relay recently lacked tokens of an account, if it did."""
@@ -188,20 +188,20 @@
         seconds = CALL_SECONDS + (LEND_SECONDS if trade.needed else 0.0)
         reply = await self._call(member, "Trade", request, seconds)
         if reply is None:
-            self.note_silence(member, now)
+            self.record_failure(member, now)
             return None
-        self.note_answer(member)
+        self.record_answer(member)
         shortage = _SHORTAGE_FROM_WIRE.get(reply.shortage)
         if shortage is not None:
             until = now + SHORTAGE_CACHE_SECONDS
             self._recent_shortages[member.address, trade.account] = (until, shortage)
         return TradeAnswer(reply.lender, reply.total, shortage)
 
-    def note_answer(self, member: Member) -> None:
+    def record_answer(self, member: Member) -> None:
         """Record that a relay has answered."""
         self._backoffs.pop(member.address, None)
 
-    def note_silence(self, member: Member, now: float) -> None:
+    def record_failure(self, member: Member, now: float) -> None:
         """Record that a relay didn't answer, and start or extend its backoff."""
         before = self._backoffs.get(member.address)
         again = before is not None and before.holder == member.holder
@@ -209,7 +209,7 @@
         pause = min(MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS * 2 ** (failures - 1))
         self._backoffs[member.address] = Backoff(member.holder, failures, now + pause)
 
-    async def tell_suspects(self, members: list[Member], lines: list[str]) -> None:
+    async def send_suspects(self, members: list[Member], lines: list[str]) -> None:
         """Report requests that ran on runners that crashed to other relays."""
         request = SuspectsRequest(lines=lines[:MAX_ENTRIES_PER_CALL])
         async with anyio.create_task_group() as group:
@@ -218,7 +218,7 @@
                     self._call, member, "TellSuspects", request, CALL_SECONDS
                 )
 
-    async def tell_limits(self, members: list[Member], limits: list[LimitNews]) -> None:
+    async def send_limits(self, members: list[Member], limits: list[LimitNews]) -> None:
         """Report changed limits of runners to other relays."""
         entries = [
             RunnerLimit(**attrs.asdict(limit))
@@ -285,12 +285,12 @@
         lender: TokenLender,
         handle_suspects: SuspectsHandler,
         serve_feed: FeedHandler,
-        hear_limits: LimitsHandler,
+        handle_limits: LimitsHandler,
     ) -> None:
         self._lender = lender
         self._handle_suspects = handle_suspects
         self._serve_feed = serve_feed
-        self._handle_limits = hear_limits
+        self._handle_limits = handle_limits
 
     async def Trade(self, stream: Stream) -> None:
         request = await stream.recv_message()
@@ -346,9 +346,9 @@
     handle_suspects: SuspectsHandler,
     serve_feed: FeedHandler,
     address: str,
-    hear_limits: LimitsHandler = _ignore_limits,
+    handle_limits: LimitsHandler = _ignore_limits,
 ) -> RpcServer:
     """Return the server for calls of other relays; it isn't started yet."""
     return RpcServer(
-        [_RelaysService(lender, handle_suspects, serve_feed, hear_limits)], address
+        [_RelaysService(lender, handle_suspects, serve_feed, handle_limits)], address
     )
--- a/knapweedrail/relay/replicas.py
+++ b/knapweedrail/relay/replicas.py
@@ -67,7 +67,7 @@
 
 
 @attrs.frozen
-class News:
+class KindUpdate:
     """The changes of a kind between two revisions of the store.
 
     Attributes:
@@ -81,7 +81,7 @@
     items: tuple[ObjectUpdate, ...] = ()
 
 
-class OutOfStepError(Exception):
+class UpdateRejectedError(Exception):
     """An update doesn't apply to the replica, or omits an object that is too large.
 
     Attributes:
@@ -147,16 +147,16 @@
         self._advance(revision)
         return found
 
-    def merge_update(self, update: News) -> list[Change]:
+    def merge_update(self, update: KindUpdate) -> list[Change]:
         """Apply an update of another relay; return the changes that it made.
 
         Raises:
-            OutOfStepError: If it doesn't apply; the replica is left unchanged.
+            UpdateRejectedError: If it doesn't apply; the replica is left unchanged.
         """
         if update.revision <= self.revision:
             return []
         if update.since > self.revision:
-            raise OutOfStepError(
+            raise UpdateRejectedError(
                 f"update starts from revision {update.since}, after the replica's",
                 needs_fetch=False,
             )
@@ -318,7 +318,7 @@
 
     def _decode_item(self, item: ObjectUpdate) -> Change:
         if item.form is UpdateForm.LARGE:
-            raise OutOfStepError(
+            raise UpdateRejectedError(
                 f"{item.name} is too large for an update", needs_fetch=True
             )
         spec = item.value
@@ -334,7 +334,7 @@
         if known is not None and known.revision >= item.revision:
             return known.spec
         if known is None or known.revision != item.base:
-            raise OutOfStepError(
+            raise UpdateRejectedError(
                 f"patch applies to another version of {item.name}", needs_fetch=True
             )
         try:
@@ -342,7 +342,9 @@
             for _, patch in item.value:
                 spec = apply_patch(spec, patch)
         except (TypeError, ValueError) as error:
-            raise OutOfStepError(f"{item.name}: {error}", needs_fetch=True) from error
+            raise UpdateRejectedError(
+                f"{item.name}: {error}", needs_fetch=True
+            ) from error
         return spec
 
 
--- a/knapweedrail/relay/sources.py
+++ b/knapweedrail/relay/sources.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class NewsTiming:
+class FeedTiming:
     """How often a relay sends heartbeats to its sources, and when it drops a source.
 
     Attributes:
@@ -73,12 +73,12 @@
         known = self.confirmed_at.get(kind, float("-inf"))
         self.confirmed_at[kind] = max(known, asked_at - age)
 
-    def has_timed_out(self, now: float, timing: NewsTiming) -> bool:
+    def has_timed_out(self, now: float, timing: FeedTiming) -> bool:
         """Return whether the source must be dropped."""
         return now - self.last_reply_at >= timing.timeout
 
     def measure_validity(
-        self, kind: str, now: float, timing: NewsTiming, limit: float
+        self, kind: str, now: float, timing: FeedTiming, limit: float
     ) -> float:
         """Return for how long its updates of a kind suffice, seconds.
 
--- a/knapweedrail/relay/reach.py
+++ b/knapweedrail/relay/store_probe.py
@@ -19,7 +19,7 @@
 bound that operators set, and spreads their calls."""
 
 
-class StoreReach:
+class StoreProbe:
     """Detects for all watchers of a relay that the store is available again.
 
     A store that recovers doesn't answer the calls that it accepted before, so waiting
--- a/knapweedrail/relay/supplies.py
+++ b/knapweedrail/relay/supplies.py
@@ -4,7 +4,7 @@
 
 from abc import ABC, abstractmethod
 
-from .replicas import News, Replica
+from .replicas import KindUpdate, Replica
 from .signals import Signal
 
 
@@ -69,7 +69,7 @@
         """Whether the store has to be read before updates can be applied."""
 
     @abstractmethod
-    def take_news(self, news: News, confirmed_at: float) -> None:
+    def take_news(self, news: KindUpdate, confirmed_at: float) -> None:
         """Applies an update from another relay.
 
         Args:
@@ -77,5 +77,5 @@
             confirmed_at: A time up to which the update is complete, seconds.
 
         Raises:
-            OutOfStepError: If it doesn't follow on from the known objects.
+            UpdateRejectedError: If it doesn't follow on from the known objects.
         """
--- a/knapweedrail/relay/suspects.py
+++ b/knapweedrail/relay/suspects.py
@@ -11,7 +11,7 @@
 
 from ..quarantine import Quarantine
 
-CRASHES = 3
+CRASH_LIMIT = 3
 """Crashed runners after which a request is refused. One crash makes every request on
 the runner a suspect, but the same content on three crashed runners is no
 coincidence."""
@@ -46,14 +46,14 @@
     """
 
     def __init__(self) -> None:
-        self._quarantine = Quarantine(CRASHES)
+        self._quarantine = Quarantine(CRASH_LIMIT)
         self._broken_requests: dict[str, list[_BrokenRequest]] = {}
 
     def blocks(self, fingerprint: str, now: float) -> bool:
         """Return whether a request is refused."""
         return self._quarantine.blocks(fingerprint, now)
 
-    def note_break(self, runner: str, fingerprint: str, now: float) -> None:
+    def record_broken_request(self, runner: str, fingerprint: str, now: float) -> None:
         """Record that a runner closed the connection of a request that may have run.
 
         Args:
@@ -65,7 +65,7 @@
         broken_requests = self._broken_requests.setdefault(runner, [])
         broken_requests.append(_BrokenRequest(fingerprint, now))
 
-    def note_crash(self, runner: str, now: float) -> list[str]:
+    def record_crash(self, runner: str, now: float) -> list[str]:
         """Record that a runner seems to have crashed.
 
         Returns:
@@ -81,11 +81,11 @@
         records = self._quarantine.tell()
         return [line for line in records if line.partition("|")[0] in recent]
 
-    def note_good(self, fingerprint: str, now: float) -> None:
+    def record_success(self, fingerprint: str, now: float) -> None:
         """Record that a request was answered successfully."""
         self._quarantine.clear(fingerprint, now)
 
-    def hear(self, lines: list[str], now: float) -> None:
+    def merge(self, lines: list[str], now: float) -> None:
         """Merge the suspects that another relay sent."""
         self._quarantine.hear(lines, now)
 
--- a/knapweedrail/relay/news.py
+++ b/knapweedrail/relay/update_feed.py
@@ -19,18 +19,18 @@
 from .links import (
     Dialer,
     EncodedUpdate,
-    FollowerLink,
+    FeedReply,
+    FeedRequest,
     LinkLostError,
-    Reading,
-    Telling,
-    WatcherLink,
+    SourceLink,
+    SubscriberLink,
 )
 from .members import Membership
 from .models import Member
-from .neighbours import Neighbours
-from .replicas import News, OutOfStepError, decode_items
+from .peers import PeerClient
+from .replicas import KindUpdate, UpdateRejectedError, decode_items
 from .signals import Signal
-from .sources import SOURCE_COUNT, NewsTiming, Source
+from .sources import SOURCE_COUNT, FeedTiming, Source
 from .supplies import NewsTaker, Supply
 
 SUBSCRIBER_TIMEOUT_FACTOR = 3.0
@@ -63,7 +63,7 @@
     reply_due: bool = True
     update_available: Signal = attrs.field(factory=Signal)
 
-    def record_sent(self, reply: Telling) -> None:
+    def record_sent(self, reply: FeedReply) -> None:
         """Record that a reply is sent to it."""
         self.reply_due = False
         for update in reply.kinds:
@@ -71,12 +71,12 @@
             self.sent_revisions[update.kind] = max(known, update.revision)
 
 
-class NewsFeed(Task, Supply):
+class UpdateFeed(Task, Supply):
     """Receives updates from two sources and sends updates to subscribers.
 
     Args:
         membership: List of the relays.
-        neighbours: Tracks which relays are in backoff.
+        peers: Tracks which relays are in backoff.
         dialer: Opens links to sources.
         receivers: Apply the updates, one receiver for each kind.
         timing: Heartbeat interval and timeout of sources.
@@ -86,17 +86,17 @@
     def __init__(
         self,
         membership: Membership,
-        neighbours: Neighbours,
+        peers: PeerClient,
         dialer: Dialer,
         receivers: Sequence[NewsTaker],
-        timing: NewsTiming,
+        timing: FeedTiming,
         first_start: bool = False,
     ) -> None:
         super().__init__("news")
         self._first_start = first_start
         self.changed = Signal()
         self._membership = membership
-        self._neighbours = neighbours
+        self._peers = peers
         self._dialer = dialer
         self._receivers = {receiver.replica.kind: receiver for receiver in receivers}
         self._timing = timing
@@ -108,7 +108,7 @@
             receiver.supply = self
 
     @property
-    def is_followed(self) -> bool:
+    def has_subscribers(self) -> bool:
         """Whether other relays subscribe to this one."""
         return bool(self._subscribers)
 
@@ -153,7 +153,7 @@
     def note_back(self) -> None:
         self._available_at = time.monotonic()
 
-    async def serve(self, link: WatcherLink) -> None:
+    async def serve(self, link: SubscriberLink) -> None:
         """Serve updates to a subscriber until its link ends."""
         try:
             request = await link.receive()
@@ -175,11 +175,11 @@
 
     def _handle_subscriber_change(self) -> None:
         for receiver in self._receivers.values():
-            receiver.replica.keep_patches = self.is_followed
+            receiver.replica.keep_patches = self.has_subscribers
         self.changed.give()
 
     async def _receive_requests(
-        self, link: WatcherLink, subscriber: _Subscriber
+        self, link: SubscriberLink, subscriber: _Subscriber
     ) -> None:
         try:
             while True:
@@ -192,7 +192,7 @@
             return
 
     async def _send_replies(
-        self, link: WatcherLink, subscriber: _Subscriber, scope: anyio.CancelScope
+        self, link: SubscriberLink, subscriber: _Subscriber, scope: anyio.CancelScope
     ) -> None:
         try:
             while True:
@@ -207,12 +207,12 @@
         except LinkLostError:
             scope.cancel()
 
-    def _make_reply(self, subscriber: _Subscriber) -> Telling:
+    def _make_reply(self, subscriber: _Subscriber) -> FeedReply:
         kinds = [
             self._make_update(receiver, subscriber.sent_revisions.get(kind, 0))
             for kind, receiver in self._receivers.items()
         ]
-        return Telling(subscriber.clock, tuple(kinds))
+        return FeedReply(subscriber.clock, tuple(kinds))
 
     def _make_update(self, receiver: NewsTaker, sent_revision: int) -> EncodedUpdate:
         replica = receiver.replica
@@ -237,7 +237,7 @@
             answered = await self._subscribe(slot, source)
             self._sources[slot] = None
             if not answered:
-                self._neighbours.note_silence(member, time.monotonic())
+                self._peers.record_failure(member, time.monotonic())
             self.changed.give()
 
     def _choose_source(self, slot: int) -> Member | None:
@@ -248,7 +248,7 @@
             if number != slot and source is not None
         }
         for member in self._membership.list_sources()[slot]:
-            if member.host in others or self._neighbours.is_avoided(member, now):
+            if member.host in others or self._peers.is_in_backoff(member, now):
                 continue
             return member
         return None
@@ -293,7 +293,7 @@
             )
 
     async def _send_heartbeats(
-        self, slot: int, link: FollowerLink, source: Source, source_lost: anyio.Event
+        self, slot: int, link: SourceLink, source: Source, source_lost: anyio.Event
     ) -> None:
         """Send heartbeats until the source times out or a better one is available."""
         while True:
@@ -305,7 +305,7 @@
                 return
             await self._send_request(link, source_lost)
 
-    async def _send_request(self, link: FollowerLink, source_lost: anyio.Event) -> None:
+    async def _send_request(self, link: SourceLink, source_lost: anyio.Event) -> None:
         revisions = {
             kind: receiver.replica.revision
             for kind, receiver in self._receivers.items()
@@ -314,21 +314,21 @@
             # The first request opens the connection, which a host without power never
             # answers.
             with anyio.fail_after(self._timing.heartbeat_interval):
-                await link.send(Reading(time.monotonic(), revisions))
+                await link.send(FeedRequest(time.monotonic(), revisions))
         except (LinkLostError, TimeoutError):
             source_lost.set()
 
     async def _receive_replies(
-        self, link: FollowerLink, source: Source, source_lost: anyio.Event
+        self, link: SourceLink, source: Source, source_lost: anyio.Event
     ) -> None:
         try:
             while True:
                 reply = await link.receive()
                 source.record_reply(time.monotonic())
-                self._neighbours.note_answer(source.member)
+                self._peers.record_answer(source.member)
                 for update in reply.kinds:
                     self._apply_update(source, reply.clock, update)
-        except (LinkLostError, OutOfStepError, ValueError) as error:
+        except (LinkLostError, UpdateRejectedError, ValueError) as error:
             log_event(
                 Event.NEIGHBOUR_SILENT,
                 neighbour=source.member.holder,
@@ -342,13 +342,13 @@
         """Apply a source's update of one kind.
 
         Raises:
-            OutOfStepError: If it can't be applied to the local replica.
+            UpdateRejectedError: If it can't be applied to the local replica.
             ValueError: If it can't be decoded.
         """
         receiver = self._receivers.get(update.kind)
         if receiver is None:
             return
-        kind_update = News(
+        kind_update = KindUpdate(
             update.kind, update.since, update.revision, decode_items(update.changes)
         )
         confirmed_at = float("-inf")
@@ -356,7 +356,7 @@
             confirmed_at = clock - update.age
         try:
             receiver.take_news(kind_update, confirmed_at)
-        except OutOfStepError:
+        except UpdateRejectedError:
             if not receiver.fetching:
                 raise
             return
--- a/knapweedrail/relay/followers.py
+++ b/knapweedrail/relay/watchers.py
@@ -15,10 +15,10 @@
 from .incarnations import EntryResult, StartTimeTracker
 from .malformed import MalformedObjects
 from .models import UNKNOWN_START, Configuration, Runner
-from .reach import StoreReach
-from .replicas import News, OutOfStepError, Replica
+from .replicas import KindUpdate, Replica, UpdateRejectedError
 from .routes import RouteTable
 from .runners import RunnerTable
+from .store_probe import StoreProbe
 from .stores import Change, Changes, HistoryGone, Listing, Store, StoredObject
 from .supplies import NewsTaker, NoSupply
 
@@ -28,7 +28,7 @@
 second."""
 
 
-class Follower(Task, NewsTaker):
+class KindWatcher(Task, NewsTaker):
     """Tracks all objects of one kind with a list and consecutive long-poll watches.
 
     A dead connection looks the same as a kind without changes. Therefore each watch has
@@ -41,7 +41,7 @@
         watch_seconds: Longest duration of one watch.
         batch_seconds: Pause after changes, so that the next ones come in one batch.
         malformed: Records objects that can't be used.
-        reach: Shared by all watchers of a store.
+        probe: Shared by all watchers of a store.
         limit_seconds: Age up to which the known state counts as current; defaults to
             `CONFIRMATION_MARGIN_SECONDS` after the end of a watch.
     """
@@ -53,7 +53,7 @@
         watch_seconds: float,
         batch_seconds: float = 0.0,
         malformed: MalformedObjects | None = None,
-        reach: StoreReach | None = None,
+        probe: StoreProbe | None = None,
         limit_seconds: float | None = None,
     ) -> None:
         super().__init__(f"follow {kind}")
@@ -65,7 +65,7 @@
         self._list_next = True
         self._needed_revision = 0
         self._malformed = malformed or MalformedObjects()
-        self._reach = reach or StoreReach(store, kind, kind)
+        self._probe = probe or StoreProbe(store, kind, kind)
         self._batch_seconds = batch_seconds
         self.confirmed_at = float("-inf")
         self._store = store
@@ -85,15 +85,15 @@
                 continue
             began_at = time.monotonic()
             outcome = None
-            with self._reach.abandon_on_recovery():
+            with self._probe.abandon_on_recovery():
                 outcome = await self._call_store()
             if outcome is not None:
                 await self._handle_outcome(outcome, time.monotonic() - began_at)
 
-    def take_news(self, update: News, confirmed_at: float) -> None:
+    def take_news(self, update: KindUpdate, confirmed_at: float) -> None:
         try:
             changes = self.replica.merge_update(update)
-        except OutOfStepError as error:
+        except UpdateRejectedError as error:
             if error.needs_fetch:
                 log_event(Event.NEWS_FETCHED, kind=self._kind, reason=str(error))
                 self._needed_revision = max(self._needed_revision, update.revision)
@@ -153,7 +153,7 @@
             case Unavailable():
                 self._record_availability(False, outcome.detail, waited)
                 self._list_next = self._list_next or self.relists_after_outage
-                await self._reach.wait_until_available(waited)
+                await self._probe.wait_until_available(waited)
                 self.supply.note_back()
                 return
             case HistoryGone():
@@ -167,7 +167,7 @@
                     self.replica.apply_changes(outcome.changes, outcome.revision)
                 )
         self._record_availability(True, "", waited)
-        self._reach.reset_backoff()
+        self._probe.reset_backoff()
         self.confirmed_at = time.monotonic()
         self.record_confirmation(self.confirmed_at)
         if isinstance(outcome, Changes) and outcome.changes:
@@ -194,7 +194,7 @@
 
     def record_malformed(self, stored: StoredObject, error: ValueError) -> None:
         """Record that an object can't be decoded."""
-        self._malformed.note(
+        self._malformed.record(
             self._kind, stored.name, stored.revision, str(error), time.monotonic()
         )
 
@@ -219,7 +219,7 @@
         """Apply the removal of an object."""
 
 
-class ConfigurationFollower(Follower):
+class ConfigurationWatcher(KindWatcher):
     """Keeps the newest configuration; its version never decreases.
 
     Args:
@@ -240,7 +240,7 @@
         name: str,
         batch_seconds: float = 0.0,
         malformed: MalformedObjects | None = None,
-        reach: StoreReach | None = None,
+        probe: StoreProbe | None = None,
         limit_seconds: float | None = None,
     ) -> None:
         super().__init__(
@@ -249,11 +249,11 @@
             watch_seconds,
             batch_seconds,
             malformed,
-            reach,
+            probe,
             limit_seconds,
         )
         self.table: RouteTable | None = None
-        self.known = anyio.Event()
+        self.loaded = anyio.Event()
         self._listeners: list[Callable[[Configuration], None]] = []
         self._applied_revision = 0
         self._decode = decode
@@ -293,7 +293,7 @@
             return
         self.table = RouteTable(found)
         self._applied_revision = stored.revision
-        self.known.set()
+        self.loaded.set()
         for listener in self._listeners:
             listener(found)
         log_event(
@@ -313,7 +313,7 @@
 }
 
 
-class RunnerFollower(Follower):
+class RunnerWatcher(KindWatcher):
     """Keeps the table of runners up to date.
 
     Args:
@@ -331,7 +331,7 @@
         table: RunnerTable,
         batch_seconds: float = 0.0,
         malformed: MalformedObjects | None = None,
-        reach: StoreReach | None = None,
+        probe: StoreProbe | None = None,
         limit_seconds: float | None = None,
     ) -> None:
         super().__init__(
@@ -340,7 +340,7 @@
             watch_seconds,
             batch_seconds,
             malformed,
-            reach,
+            probe,
             limit_seconds,
         )
         self.table = table
--- a/knapweedrail/standins/newsfleet.py
+++ b/knapweedrail/standins/newsfleet.py
@@ -17,8 +17,7 @@
 import anyio.abc
 import attrs
 
-from ..relay.followers import ConfigurationFollower, RunnerFollower
-from ..relay.links import Dialer, FollowerLink
+from ..relay.links import Dialer, SourceLink
 from ..relay.members import MEMBER_KIND, Membership
 from ..relay.models import (
     CallerLimits,
@@ -28,12 +27,13 @@
     Runner,
     RunnerState,
 )
-from ..relay.neighbours import Neighbours
-from ..relay.news import NewsFeed
 from ..relay.options import RelaySettings
-from ..relay.reach import StoreReach
+from ..relay.peers import PeerClient
 from ..relay.runners import RunnerTable
-from ..relay.sources import NewsTiming
+from ..relay.sources import FeedTiming
+from ..relay.store_probe import StoreProbe
+from ..relay.update_feed import UpdateFeed
+from ..relay.watchers import ConfigurationWatcher, RunnerWatcher
 from .playedlinks import FollowerEnd, PlayedLink, Traffic, WatcherEnd
 from .playedstore import PlayedStore, StoreOfHost
 
@@ -51,7 +51,7 @@
         self._host = host
 
     @contextlib.asynccontextmanager
-    async def dial(self, member: Member) -> AsyncIterator[FollowerLink]:
+    async def dial(self, member: Member) -> AsyncIterator[SourceLink]:
         link = PlayedLink(frozenset({self._host, member.host}))
         if self._fleet.is_parted(self._host, member.host):
             link.sever()
@@ -73,9 +73,9 @@
     """
 
     member: Member
-    configuration: ConfigurationFollower
-    runners: RunnerFollower
-    news: NewsFeed
+    configuration: ConfigurationWatcher
+    runners: RunnerWatcher
+    news: UpdateFeed
     membership: Membership
     group: anyio.abc.TaskGroup
     disturbed_at: float
@@ -182,34 +182,34 @@
         number = list(self.hosts).index(host)
         address = f"10.0.{number // 250}.{number % 250 + 1}:7200"
         member = Member(host, holder, address, self.hosts[host])
-        reach = StoreReach(store, MEMBER_KIND, host)
-        configuration = ConfigurationFollower(
+        probe = StoreProbe(store, MEMBER_KIND, host)
+        configuration = ConfigurationWatcher(
             store,
             CONFIGURATION_KIND,
             settings.configuration_watch_seconds,
             decode_version,
             CONFIGURATION_NAME,
             settings.configuration_batch_seconds,
-            reach=reach,
+            probe=probe,
             limit_seconds=settings.configuration_limit_seconds,
         )
-        runners = RunnerFollower(
+        runners = RunnerWatcher(
             store,
             RUNNERS_KIND,
             settings.runner_watch_seconds,
             decode_played_runner,
             RunnerTable(DOUBT_SECONDS),
             settings.runner_batch_seconds,
-            reach=reach,
+            probe=probe,
             limit_seconds=settings.runner_limit_seconds,
         )
         membership = Membership(store, member)
-        news = NewsFeed(
+        news = UpdateFeed(
             membership,
-            Neighbours(),
+            PeerClient(),
             PlayedDialer(self, host),
             (configuration, runners),
-            NewsTiming(settings.beat_seconds, settings.silence_seconds),
+            FeedTiming(settings.beat_seconds, settings.silence_seconds),
             first_start=host not in self._seen,
         )
         self._group.start_soon(
@@ -219,9 +219,9 @@
     async def _run(
         self,
         member: Member,
-        configuration: ConfigurationFollower,
-        runners: RunnerFollower,
-        news: NewsFeed,
+        configuration: ConfigurationWatcher,
+        runners: RunnerWatcher,
+        news: UpdateFeed,
         membership: Membership,
     ) -> None:
         async with anyio.create_task_group() as group:
@@ -333,4 +333,4 @@
 
     def count_watchers(self) -> int:
         """Return how many relays others rely on."""
-        return sum(relay.news.is_followed for relay in self.relays.values())
+        return sum(relay.news.has_subscribers for relay in self.relays.values())
--- a/knapweedrail/standins/playedlinks.py
+++ b/knapweedrail/standins/playedlinks.py
@@ -9,7 +9,13 @@
 import anyio
 import attrs
 
-from ..relay.links import FollowerLink, LinkLostError, Reading, Telling, WatcherLink
+from ..relay.links import (
+    FeedReply,
+    FeedRequest,
+    LinkLostError,
+    SourceLink,
+    SubscriberLink,
+)
 
 LINK_SECONDS = 0.001
 
@@ -84,31 +90,31 @@
     bytes: int = 0
 
 
-class FollowerEnd(FollowerLink):
+class FollowerEnd(SourceLink):
     """The end of the relay that follows another one."""
 
     def __init__(self, link: PlayedLink) -> None:
         self._link = link
 
-    async def send(self, reading: Reading) -> None:
-        self._link.there.send(reading)
+    async def send(self, request: FeedRequest) -> None:
+        self._link.there.send(request)
 
-    async def receive(self) -> Telling:
+    async def receive(self) -> FeedReply:
         return await self._link.back.receive()
 
 
-class WatcherEnd(WatcherLink):
+class WatcherEnd(SubscriberLink):
     """The end of the relay that is followed."""
 
     def __init__(self, link: PlayedLink, traffic: Traffic) -> None:
         self._link = link
         self._traffic = traffic
 
-    async def receive(self) -> Reading:
+    async def receive(self) -> FeedRequest:
         return await self._link.there.receive()
 
-    async def send(self, telling: Telling) -> None:
+    async def send(self, reply: FeedReply) -> None:
         self._traffic.messages += 1
-        changes = sum(len(state.changes) for state in telling.kinds)
+        changes = sum(len(state.changes) for state in reply.kinds)
         self._traffic.bytes += MESSAGE_BYTES + changes
-        self._link.back.send(telling)
+        self._link.back.send(reply)
--- a/knapweedrail/standins/tokenfleet.py
+++ b/knapweedrail/standins/tokenfleet.py
@@ -18,8 +18,8 @@
 from ..relay.ledgers import AccountLedger, decode_account
 from ..relay.members import Membership
 from ..relay.models import Account, CallerLimits, Configuration, Member
-from ..relay.neighbours import CALL_SECONDS, Neighbours, Trade, TradeAnswer
 from ..relay.openings import Boot, Moment
+from ..relay.peers import CALL_SECONDS, PeerClient, Trade, TradeAnswer
 from ..relay.reservations import Reservation
 from .playedstore import PlayedStore, StoreOfHost
 
@@ -64,7 +64,7 @@
         return round((time.monotonic() - self._began_at) * 1000)
 
 
-class PlayedNeighbours(Neighbours):
+class PlayedNeighbours(PeerClient):
     """Calls to the other relays of a fleet.
 
     Args:
@@ -81,11 +81,11 @@
         if lender is None or self._fleet.is_parted(self._host, member.host):
             now = time.monotonic()
             await anyio.sleep(CALL_SECONDS)
-            self.note_silence(member, now)
+            self.record_failure(member, now)
             return None
         await anyio.sleep(CALL_TAKES_SECONDS)
         answer = await lender.holdings.answer_trade(trade)
-        self.note_answer(member)
+        self.record_answer(member)
         return answer
 
 
--- a/knapweedrail/tests/relays_in_memory.py
+++ b/knapweedrail/tests/relays_in_memory.py
@@ -15,7 +15,6 @@
 from ..outcomes import Unavailable, Unknown
 from ..platform.requests import PlatformCodec
 from ..relay.connections import ConnectionPool
-from ..relay.followers import ConfigurationFollower
 from ..relay.gateway import Gateway
 from ..relay.holdings import Holdings
 from ..relay.measures import RelayMeasures
@@ -32,8 +31,8 @@
     RunnerState,
     Share,
 )
-from ..relay.neighbours import Neighbours
 from ..relay.overload import OverloadMonitor
+from ..relay.peers import PeerClient
 from ..relay.request_context import Services
 from ..relay.retries import RetryBudget
 from ..relay.runners import RunnerTable
@@ -47,6 +46,7 @@
 )
 from ..relay.successors import Successors
 from ..relay.suspects import Suspects
+from ..relay.watchers import ConfigurationWatcher
 
 KEY = "key-of-farm"
 WATCH_SECONDS = 1.0
@@ -280,7 +280,7 @@
     holdings: Holdings
     table: RunnerTable
     pool: ConnectionPool
-    configuration: ConfigurationFollower
+    configuration: ConfigurationWatcher
     successors: Successors
 
     async def call(
@@ -358,7 +358,7 @@
     """
     store = store or MemoryStore()
     table = RunnerTable(grace_seconds=1.9)
-    follower = ConfigurationFollower(
+    follower = ConfigurationWatcher(
         store, "config", WATCH_SECONDS, lambda spec: spec, "main"
     )
     if configuration is not None:
@@ -368,7 +368,7 @@
     membership.settled = True
     membership._senders.set_names(others)
     table.find_standing = membership.find_standing
-    holdings = Holdings(store, Neighbours(), membership, lambda: configuration)
+    holdings = Holdings(store, PeerClient(), membership, lambda: configuration)
     pool = ConnectionPool()
     codec = PlatformCodec()
     successors = Successors(pool, codec, table, lambda: configuration)
--- a/knapweedrail/tests/test_platform_store.py
+++ b/knapweedrail/tests/test_platform_store.py
@@ -10,14 +10,14 @@
 from ..platform.decoding import DecodingError, decode_configuration, decode_runner
 from ..platform.encoding import encode_configuration, encode_runner
 from ..platform.store import PlatformStore
-from ..relay.followers import RunnerFollower
 from ..relay.holdings import Holdings
 from ..relay.members import MEMBER_KIND, Membership
 from ..relay.models import Account, Member, Repetition, RunnerState
-from ..relay.neighbours import Neighbours
+from ..relay.peers import PeerClient
 from ..relay.reservations import Reservation, Shortage
 from ..relay.runners import RunnerTable
 from ..relay.stores import Changes, Conflict, HistoryGone, Listing, Missing, Written
+from ..relay.watchers import RunnerWatcher
 from ..servers import HttpServer, ServerLimits
 from ..standins.objects import ObjectStore
 from .relays_in_memory import make_configuration, make_route, make_runner
@@ -100,7 +100,7 @@
     these changes is dropped. Requests would be sent to a runner that is gone."""
     async with run_store() as (objects, client):
         table = RunnerTable(grace_seconds=1.9)
-        follower = RunnerFollower(client, "servers", 0.2, decode_runner, table)
+        follower = RunnerWatcher(client, "servers", 0.2, decode_runner, table)
         objects.put("servers", "i-1", RUNNER)
         async with anyio.create_task_group() as group:
             await follower.start(group)
@@ -127,7 +127,7 @@
     async with run_store() as (objects, client):
         objects.misbehaviour.lose_answers = 3
         membership = Membership(client, Member("h", "h/1", "", "dc"))
-        holdings = Holdings(client, Neighbours(), membership, lambda: configuration)
+        holdings = Holdings(client, PeerClient(), membership, lambda: configuration)
         async with anyio.create_task_group() as group:
             await holdings.start(group)
             await membership.start(group)
--- a/knapweedrail/tests/test_relay_exchanges.py
+++ b/knapweedrail/tests/test_relay_exchanges.py
@@ -7,7 +7,7 @@
 
 from ..relay.attempts import UNRESPONSIVE_SECONDS
 from ..relay.models import Repetition
-from ..relay.suspects import CRASHES, make_fingerprint
+from ..relay.suspects import CRASH_LIMIT, make_fingerprint
 from .relays_in_memory import (
     WATCH_SECONDS,
     ScriptedRunner,
@@ -380,9 +380,9 @@
     async with run_relay(make_configuration(SAFE), runner) as relay:
         suspects = relay.gateway._services.suspects
         fingerprint = make_fingerprint("farm", "POST", b"/a/x", b"hello")
-        for number in range(CRASHES + 1):
-            suspects.note_break(f"i-{number}", fingerprint, float(number))
-            suspects.note_crash(f"i-{number}", number + 0.1)
+        for number in range(CRASH_LIMIT + 1):
+            suspects.record_broken_request(f"i-{number}", fingerprint, float(number))
+            suspects.record_crash(f"i-{number}", number + 0.1)
             assert (await relay.call()).status == 200
 
 
--- a/knapweedrail/tests/test_relay_followers.py
+++ b/knapweedrail/tests/test_relay_followers.py
@@ -13,11 +13,11 @@
 from ..platform.clients import ANSWER_SECONDS
 from ..platform.relays import make_followers, make_relay
 from ..platform.store import WATCH_GRACE_SECONDS, PlatformStore
-from ..relay.followers import ConfigurationFollower
 from ..relay.malformed import MalformedObjects
 from ..relay.options import RelaySettings
-from ..relay.reach import MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS, StoreReach
+from ..relay.store_probe import MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS, StoreProbe
 from ..relay.stores import Change, Missing, StoredObject
+from ..relay.watchers import ConfigurationWatcher
 from ..servers import HttpServer, ServerLimits
 from ..standins.objects import ObjectStore
 from ..standins.proxy import ANYONE, Fault, Mode, Route
@@ -185,7 +185,7 @@
 async def test_newest_readable_version_is_used():
     """Guards against a malformed object that hides the version before it."""
     changes = []
-    watcher = ConfigurationFollower(MemoryStore(), "c", 1.0, decode, "main")
+    watcher = ConfigurationWatcher(MemoryStore(), "c", 1.0, decode, "main")
     for spec in (1, 2, "malformed"):
         changes.append(Change(StoredObject("main", len(changes) + 5, spec), False))
     for change in watcher.sort_changes(tuple(changes)):
@@ -270,18 +270,18 @@
     against a probe by each watcher when the store recovers."""
     store = MemoryStore()
     store.unavailable = True
-    reach = StoreReach(store, "k", "n")
+    probe = StoreProbe(store, "k", "n")
     abandoned = []
 
     async def wait(name):
-        with reach.abandon_on_recovery():
+        with probe.abandon_on_recovery():
             await anyio.sleep_forever()
         abandoned.append(name)
 
     async with anyio.create_task_group() as group:
         group.start_soon(wait, "a watch")
-        group.start_soon(reach.wait_until_available, 0.0)
-        group.start_soon(reach.wait_until_available, 0.0)
+        group.start_soon(probe.wait_until_available, 0.0)
+        group.start_soon(probe.wait_until_available, 0.0)
         await anyio.sleep(0.5)
         assert not abandoned
         reads = store.peeks
@@ -293,8 +293,8 @@
 async def test_probes_back_off_while_store_rejects_other_calls():
     """Guards against a busy loop when stale reads succeed and other calls fail."""
     store = MemoryStore()
-    reach = StoreReach(store, "k", "n")
+    probe = StoreProbe(store, "k", "n")
     began_at = time.monotonic()
     for _ in range(4):
-        await reach.wait_until_available(0.0)
+        await probe.wait_until_available(0.0)
     assert time.monotonic() - began_at > 2 * MIN_BACKOFF_SECONDS
--- a/knapweedrail/tests/test_relay_foreign.py
+++ b/knapweedrail/tests/test_relay_foreign.py
@@ -12,10 +12,10 @@
 from ..platform.decoding import decode_runner
 from ..platform.pages import parse_page
 from ..relay import malformed
-from ..relay.followers import RunnerFollower
 from ..relay.malformed import MalformedObjects
 from ..relay.models import Repetition
 from ..relay.stores import Unreadable
+from ..relay.watchers import RunnerWatcher
 from .relays_in_memory import (
     MemoryStore,
     ScriptedRunner,
@@ -225,7 +225,7 @@
     were logged each time, the lines on requests would be dropped."""
     counted = []
     listed = WatchedRunners()
-    listed.watcher = RunnerFollower(
+    listed.watcher = RunnerWatcher(
         MemoryStore(),
         "servers",
         1.0,
@@ -245,7 +245,7 @@
 def test_log_lines_are_limited_in_number_and_length(lines):
     objects = MalformedObjects()
     for number in range(2000):
-        objects.note("k", "n" * 5000, number, "e", now=number / 100)
+        objects.record("k", "n" * 5000, number, "e", now=number / 100)
     assert len(lines) == 2 * malformed.MAX_LOG_LINES
     assert all(len(line["name"]) == malformed.MAX_NAME_CHARACTERS for line in lines)
 
@@ -352,7 +352,7 @@
     then in a continued watch."""
     async with run_store() as (objects, client):
         listed = WatchedRunners()
-        watcher = RunnerFollower(client, "servers", 0.2, decode_runner, listed.table)
+        watcher = RunnerWatcher(client, "servers", 0.2, decode_runner, listed.table)
         names = [f"i-{number}" for number in range(50)]
         for name in names:
             objects.put("servers", name, make_entry(OLD))
--- a/knapweedrail/tests/test_relay_foreign_state.py
+++ b/knapweedrail/tests/test_relay_foreign_state.py
@@ -213,7 +213,7 @@
     hosts = []
     for one in specs:
         write_members(store, one)
-        assert await membership._list(stale=True)
+        assert await membership._refresh(stale=True)
         hosts.append({member.host for member in membership.list_all()})
         assert len(membership.list_others()) == membership.count - 1
         membership.list_lenders(ACCOUNT)
--- a/knapweedrail/tests/test_relay_lending.py
+++ b/knapweedrail/tests/test_relay_lending.py
@@ -9,13 +9,13 @@
 import pytest
 
 from ..relay import holdings as holdings_module
-from ..relay import neighbours as neighbours_module
+from ..relay import peers as peers_module
 from ..relay.draws import LEDGER_KIND
 from ..relay.holdings import Holdings, compute_refill_pause
 from ..relay.ledgers import decode_account, name_holder
-from ..relay.members import Membership, compute_pause, order_lenders
+from ..relay.members import Membership, compute_list_interval, order_lenders
 from ..relay.models import Account, Member, Repetition
-from ..relay.neighbours import Neighbours, Trade, make_server
+from ..relay.peers import PeerClient, Trade, make_server
 from ..relay.reservations import Reservation, Shortage
 from .relays_in_memory import MemoryStore, make_configuration, make_route
 
@@ -37,8 +37,8 @@
 def extend_timeouts(monkeypatch):
     monkeypatch.setattr(holdings_module, "TOKEN_WAIT_SECONDS", TEST_TIMEOUT_SECONDS)
     monkeypatch.setattr(holdings_module, "LEND_SECONDS", TEST_TIMEOUT_SECONDS)
-    monkeypatch.setattr(neighbours_module, "LEND_SECONDS", TEST_TIMEOUT_SECONDS)
-    monkeypatch.setattr(neighbours_module, "CALL_SECONDS", TEST_TIMEOUT_SECONDS)
+    monkeypatch.setattr(peers_module, "LEND_SECONDS", TEST_TIMEOUT_SECONDS)
+    monkeypatch.setattr(peers_module, "CALL_SECONDS", TEST_TIMEOUT_SECONDS)
 
 
 class Fleet:
@@ -52,7 +52,7 @@
         )
         self.holdings = {}
         self.servers = {}
-        self.neighbours = []
+        self.peers = []
         self.memberships = {}
         self._group = group
 
@@ -61,11 +61,9 @@
         member = Member(host, f"{host}/{incarnation}", "", data_centre)
         membership = Membership(self.store, member)
         membership.settled = True
-        neighbours = Neighbours()
-        self.neighbours.append(neighbours)
-        holdings = Holdings(
-            self.store, neighbours, membership, lambda: self.configuration
-        )
+        peers = PeerClient()
+        self.peers.append(peers)
+        holdings = Holdings(self.store, peers, membership, lambda: self.configuration)
         server = make_server(holdings, lambda lines: None, ignore, address)
         await server.start()
         membership.member = attrs.evolve(member, address=server.address)
@@ -86,8 +84,8 @@
         for host, holdings in self.holdings.items():
             await holdings.close()
             await self.servers[host].close()
-        for neighbours in self.neighbours:
-            await neighbours.close()
+        for peers in self.peers:
+            await peers.close()
 
     async def reserve(self, host, tokens):
         return await self.holdings[host].reserve(self.account, tokens)
@@ -329,8 +327,8 @@
     five hundred relays would do so at the interval used by six."""
     entry_bytes, most_bytes = 231, 23_000
     for relays in (6, 89, 500, 2000):
-        assert relays * entry_bytes / compute_pause(relays) < most_bytes / 4
-    assert compute_pause(6) == compute_pause(89)
+        assert relays * entry_bytes / compute_list_interval(relays) < most_bytes / 4
+    assert compute_list_interval(6) == compute_list_interval(89)
 
 
 async def test_primary_relay_changes_as_relays_join():
@@ -345,6 +343,6 @@
         holder = name_holder(f"h-{number}", "1")
         spec = {"holder": holder, "address": "10.0.0.1:1", "data_centre": "dc"}
         store.put("relay-members", f"h-{number}", spec)
-    assert await membership._list(stale=True)
+    assert await membership._refresh(stale=True)
     primary_accounts = [account for account in accounts if membership.keeps(account)]
     assert 0 < len(primary_accounts) < 12
--- a/knapweedrail/tests/test_relay_limits.py
+++ b/knapweedrail/tests/test_relay_limits.py
@@ -9,7 +9,7 @@
 
 from ..limits import LimitNews, LimitRecord
 from ..relay.models import Member, Repetition
-from ..relay.neighbours import Neighbours, make_server
+from ..relay.peers import PeerClient, make_server
 from ..standins.limitfleet import LimitFleet, allow
 from .relays_in_memory import (
     ScriptedRunner,
@@ -195,14 +195,14 @@
     """Guards against changes of a limit that reach other relays only by chance."""
     received = []
     server = make_server(
-        None, lambda lines: None, None, "127.0.0.1:0", hear_limits=received.extend
+        None, lambda lines: None, None, "127.0.0.1:0", handle_limits=received.extend
     )
     await server.start()
-    neighbours = Neighbours()
+    peers = PeerClient()
     member = Member("b", "b/1", server.address, "dc")
     news = [LimitNews("i-0", 17, 1.5, 3), LimitNews("i-1", 0, 0.0, 1)]
-    await neighbours.tell_limits([member], news)
-    await neighbours.close()
+    await peers.send_limits([member], news)
+    await peers.close()
     await server.close()
     assert received == news
 
--- a/knapweedrail/tests/test_relay_lives.py
+++ b/knapweedrail/tests/test_relay_lives.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from ..platform.decoding import decode_runner
-from ..relay.followers import RunnerFollower
 from ..relay.models import Repetition
 from ..relay.runners import RunnerTable
 from ..relay.stores import StoredObject
-from ..relay.suspects import CRASHES, Suspects
+from ..relay.suspects import CRASH_LIMIT, Suspects
+from ..relay.watchers import RunnerWatcher
 from .relays_in_memory import (
     MemoryStore,
     ScriptedRunner,
@@ -47,7 +47,7 @@
 
     def __init__(self, table=None):
         self.table = table or RunnerTable(GRACE_SECONDS)
-        self.watcher = RunnerFollower(
+        self.watcher = RunnerWatcher(
             MemoryStore(), "servers", 1.0, decode_runner, self.table
         )
         self.revision = 0
@@ -262,14 +262,14 @@
 def test_each_crashed_incarnation_counts_against_a_request():
     """One runner restarts under its name each time the same request crashes it. If
     crashes seen by three relays counted as one, the request would keep crashing it."""
-    suspects = [Suspects() for _ in range(CRASHES)]
+    suspects = [Suspects() for _ in range(CRASH_LIMIT)]
     lines = []
     for number, relay in enumerate(suspects):
         incarnation = f"i-0@{OLD + number}"
-        relay.note_break(incarnation, "bad", number)
-        lines += relay.note_crash(incarnation, number + 0.1)
+        relay.record_broken_request(incarnation, "bad", number)
+        lines += relay.record_crash(incarnation, number + 0.1)
     for line in lines:
-        suspects[0].hear([line], 5.0)
+        suspects[0].merge([line], 5.0)
     assert suspects[0].blocks("bad", 6.0)
 
 
@@ -359,17 +359,17 @@
     gone before it serves. Taken for one incarnation, it would seem to have been crashed
     by that call."""
     crashes = []
-    note_crash = Suspects.note_crash
+    record_crash = Suspects.record_crash
 
     def capture_crash(suspects, runner, now):
-        crashes.append((runner, note_crash(suspects, runner, now)))
+        crashes.append((runner, record_crash(suspects, runner, now)))
         return crashes[-1][1]
 
     async def break_off(stream, head):
         watched.write("i-0", NEW, address="127.0.0.1:1")
         return False
 
-    monkeypatch.setattr(Suspects, "note_crash", capture_crash)
+    monkeypatch.setattr(Suspects, "record_crash", capture_crash)
     runner = ScriptedRunner(break_off)
     route = make_route(Repetition.SAFE)
     async with run_relay(make_configuration(route), runner) as relay:
--- a/knapweedrail/tests/test_relay_neighbours.py
+++ b/knapweedrail/tests/test_relay_neighbours.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ..relay.models import Member
-from ..relay.neighbours import Neighbours, Trade
+from ..relay.peers import PeerClient, Trade
 
 pytestmark = pytest.mark.anyio
 
@@ -34,12 +34,12 @@
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
     member = Member("h", "h/1", f"127.0.0.1:{port}", "dc")
     trade = Trade(account="farm", holder="x/1", lender="h/1", needed=5)
-    neighbours = Neighbours()
+    peers = PeerClient()
     resumed = []
 
     async def request():
         with anyio.CancelScope() as scope:
-            assert await neighbours.trade(member, trade) is None
+            assert await peers.trade(member, trade) is None
             scope.cancel()
             await anyio.sleep(5)
         resumed.append(scope.cancelled_caught)
@@ -49,7 +49,7 @@
         async with anyio.create_task_group() as requests:
             for _ in range(3):
                 requests.start_soon(request)
-        await neighbours.close()
+        await peers.close()
         group.cancel_scope.cancel()
     assert resumed == [True, True, True]
 
@@ -62,26 +62,26 @@
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     member = Member("h", "h/1", f"127.0.0.1:{port}", "dc")
-    neighbours = Neighbours()
+    peers = PeerClient()
     trade = Trade(account="farm", holder="x/1", lender="h/1", needed=5)
     for _ in range(FAILED_CALLS):
-        assert await neighbours.trade(member, trade) is None
-    assert neighbours.is_avoided(member, time.monotonic())
-    return neighbours, member
+        assert await peers.trade(member, trade) is None
+    assert peers.is_in_backoff(member, time.monotonic())
+    return peers, member
 
 
 async def test_backoff_ends_when_the_relay_restarts():
     """Guards against lenders kept in backoff for half a minute after a restart."""
-    neighbours, ended = await make_failed_calls()
+    peers, ended = await make_failed_calls()
     restarted = attrs.evolve(ended, holder="h/2")
-    assert not neighbours.is_avoided(restarted, time.monotonic())
+    assert not peers.is_in_backoff(restarted, time.monotonic())
 
 
 async def test_backoff_ends_within_recovery_time():
     """Guards against lenders that stay in backoff for longer than a fleet may take to
     recover, even though they have called meanwhile."""
-    neighbours, member = await make_failed_calls()
+    peers, member = await make_failed_calls()
     now = time.monotonic()
-    assert not neighbours.is_avoided(member, now + RECOVERY_SECONDS)
-    neighbours.note_heard(member.holder)
-    assert not neighbours.is_avoided(member, now)
+    assert not peers.is_in_backoff(member, now + RECOVERY_SECONDS)
+    peers.record_incoming_call(member.holder)
+    assert not peers.is_in_backoff(member, now)
--- a/knapweedrail/tests/test_relay_news.py
+++ b/knapweedrail/tests/test_relay_news.py
@@ -49,7 +49,7 @@
 
 
 def list_followed_hosts(fleet):
-    return [host for host, relay in fleet.relays.items() if relay.news.is_followed]
+    return [host for host, relay in fleet.relays.items() if relay.news.has_subscribers]
 
 
 def check(fleet):
--- a/knapweedrail/tests/test_relay_recovery.py
+++ b/knapweedrail/tests/test_relay_recovery.py
@@ -9,8 +9,8 @@
 from ..relay.ledgers import decode_account, encode_account
 from ..relay.members import Membership
 from ..relay.models import Account, Member, Repetition
-from ..relay.neighbours import Neighbours
 from ..relay.openings import Boot, Moment
+from ..relay.peers import PeerClient
 from ..relay.reservations import Reservation, Shortage
 from .relays_in_memory import MemoryStore, make_configuration, make_route
 
@@ -74,7 +74,7 @@
         membership.settled = True
         self.holdings = Holdings(
             self.store,
-            Neighbours(),
+            PeerClient(),
             membership,
             lambda: self.configuration,
             clock=self.clock,
--- a/knapweedrail/tests/test_relay_replicas.py
+++ b/knapweedrail/tests/test_relay_replicas.py
@@ -6,7 +6,13 @@
 from hypothesis import strategies as st
 
 from ..relay import replicas
-from ..relay.replicas import News, OutOfStepError, Replica, UpdateForm, decode_items
+from ..relay.replicas import (
+    KindUpdate,
+    Replica,
+    UpdateForm,
+    UpdateRejectedError,
+    decode_items,
+)
 from ..relay.stores import Change, StoredObject, Unreadable
 
 NAMES = ("a", "b", "c")
@@ -54,7 +60,7 @@
     """Send a subscriber all changes that it lacks."""
     since = subscriber.revision
     subscriber.merge_update(
-        News(
+        KindUpdate(
             "k",
             source.find_base(since),
             source.revision,
@@ -100,7 +106,7 @@
             case "update" if one != other:
                 try:
                     send_updates(relays[other], relay)
-                except OutOfStepError as error:
+                except UpdateRejectedError as error:
                     assert not error.needs_fetch
         assert relay.revision >= before
         if relay.revision:
@@ -156,7 +162,7 @@
     source, subscriber = make_pair(10)
     change(source, {"list": ["y" * 40] * 2000}, 7)
     assert decode_items(source.encode_changes(5))[0].form is UpdateForm.LARGE
-    with pytest.raises(OutOfStepError) as caught:
+    with pytest.raises(UpdateRejectedError) as caught:
         send_updates(source, subscriber)
     assert caught.value.needs_fetch
     assert subscriber.revision == 5
@@ -168,8 +174,8 @@
     change(source, {"list": ["x" * 40] * 1000, "version": 7}, 7)
     items = decode_items(source.encode_changes(5))
     mismatched = [attrs.evolve(item, base=4) for item in items]
-    with pytest.raises(OutOfStepError) as caught:
-        subscriber.merge_update(News("k", 5, 7, tuple(mismatched)))
+    with pytest.raises(UpdateRejectedError) as caught:
+        subscriber.merge_update(KindUpdate("k", 5, 7, tuple(mismatched)))
     assert caught.value.needs_fetch
     assert subscriber.revision == 5
 
@@ -178,8 +184,8 @@
     """Guards against an unnoticed loss of changes between two updates."""
     subscriber = Replica("k")
     subscriber.apply_list((), 5)
-    with pytest.raises(OutOfStepError) as caught:
-        subscriber.merge_update(News("k", 7, 9))
+    with pytest.raises(UpdateRejectedError) as caught:
+        subscriber.merge_update(KindUpdate("k", 7, 9))
     assert not caught.value.needs_fetch
 
 
--- a/knapweedrail/tests/test_relay_sources.py
+++ b/knapweedrail/tests/test_relay_sources.py
@@ -7,13 +7,13 @@
 from ..relay.models import Member
 from ..relay.sources import (
     MIN_LOCAL_RELAYS,
-    NewsTiming,
+    FeedTiming,
     Source,
     plan_sources,
     rank_sources,
 )
 
-TIMING = NewsTiming(heartbeat_interval=1.0, timeout=2.0)
+TIMING = FeedTiming(heartbeat_interval=1.0, timeout=2.0)
 
 
 def make_fleet(*sizes):
--- a/knapweedrail/tests/test_relay_suspects.py
+++ b/knapweedrail/tests/test_relay_suspects.py
@@ -7,23 +7,23 @@
 
 from ..relay.daemons import Relay
 from ..relay.signals import Signal
-from ..relay.suspects import CRASHES, Suspects, make_fingerprint
+from ..relay.suspects import CRASH_LIMIT, Suspects, make_fingerprint
 
 
 def crash(suspects, runner, fingerprints, now):
     for fingerprint in fingerprints:
-        suspects.note_break(runner, fingerprint, now)
-    return suspects.note_crash(runner, now + 0.1)
+        suspects.record_broken_request(runner, fingerprint, now)
+    return suspects.record_crash(runner, now + 0.1)
 
 
 def test_request_that_crashes_runners_is_refused_at_all_relays():
     """Guards against a caller that sends the same request to one relay after another
     and crashes a runner each time, together with the work of others on it."""
     relays = [Suspects() for _ in range(3)]
-    for number in range(CRASHES):
+    for number in range(CRASH_LIMIT):
         lines = crash(relays[number], f"i-{number}", ["bad", f"other-{number}"], number)
         for relay in relays:
-            relay.hear(lines, number + 0.2)
+            relay.merge(lines, number + 0.2)
     assert all(relay.blocks("bad", 10.0) for relay in relays)
     assert not any(
         relay.blocks(f"other-{n}", 10.0) for n in range(3) for relay in relays
@@ -35,7 +35,7 @@
     lines = [crash(relay, "i-0", ["innocent"], 0.0) for relay in relays]
     for relay in relays:
         for reported in lines:
-            relay.hear(reported, 0.5)
+            relay.merge(reported, 0.5)
     assert not any(relay.blocks("innocent", 1.0) for relay in relays)
 
 
@@ -44,9 +44,9 @@
     status request of many callers would be refused after three resets."""
     suspects = Suspects()
     for number in range(10):
-        suspects.note_break("i-0", "status", number * 4.0)
+        suspects.record_broken_request("i-0", "status", number * 4.0)
         suspects.prune(number * 4.0 + 3.5)
-    assert suspects.note_crash("i-0", 100.0) == []
+    assert suspects.record_crash("i-0", 100.0) == []
     assert not suspects.blocks("status", 100.0)
 
 
@@ -54,7 +54,7 @@
     suspects = Suspects()
     crash(suspects, "i-0", ["once"], 0.0)
     crash(suspects, "i-1", ["once"], 1.0)
-    suspects.note_good("once", 2.0)
+    suspects.record_success("once", 2.0)
     crash(suspects, "i-2", ["once"], 3.0)
     assert not suspects.blocks("once", 4.0)
 
@@ -83,7 +83,7 @@
     async def send(members, lines):
         sent.append(lines)
 
-    relay._neighbours = types.SimpleNamespace(tell_suspects=send)
+    relay._peers = types.SimpleNamespace(send_suspects=send)
     async with anyio.create_task_group() as group:
         group.start_soon(relay._tell_waiting)
         for crash in (["a", "b"], ["c", "d"]):
