--- a/knapweedrail/benches/relays.py
+++ b/knapweedrail/benches/relays.py
@@ -28,7 +28,7 @@
     CallerLimits,
     Configuration,
     Endpoint,
-    Repetition,
+    RetryPolicy,
     Route,
     Runner,
     RunnerState,
@@ -66,19 +66,19 @@
             name=name,
             host="h",
             prefix=prefix,
-            repetition=repetition,
+            retry_policy=retry_policy,
             timeout=8.0,
             objective=8.0,
             gap=1.0,
-            rank=0,
+            priority=0,
             shares=(Share(endpoint="e", weight=1.0),),
             max_runners=1,
             needs_key=True,
             resumable=False,
         )
-        for name, prefix, repetition in (
-            ("plain", "/a/", Repetition.ONCE),
-            ("stream", "/s/", Repetition.STREAM),
+        for name, prefix, retry_policy in (
+            ("plain", "/a/", RetryPolicy.ONCE),
+            ("stream", "/s/", RetryPolicy.STREAM),
         )
     ),
     endpoints={"e": Endpoint(name="e", health_path="/health", max_connections=600)},
--- a/knapweedrail/platform/decoding.py
+++ b/knapweedrail/platform/decoding.py
@@ -11,7 +11,7 @@
     CallerLimits,
     Configuration,
     Endpoint,
-    Repetition,
+    RetryPolicy,
     Route,
     Runner,
     RunnerState,
@@ -21,9 +21,9 @@
 from .start_times import decode_start_time
 
 _REPETITIONS = {
-    "safe": Repetition.SAFE,
-    "unsafe": Repetition.ONCE,
-    "streaming": Repetition.STREAM,
+    "safe": RetryPolicy.SAFE,
+    "unsafe": RetryPolicy.ONCE,
+    "streaming": RetryPolicy.STREAM,
 }
 
 _STATES = {READY: RunnerState.READY, DRAINING: RunnerState.LEAVING}
@@ -101,11 +101,11 @@
         name=item["name"],
         host=item["host"].lower(),
         prefix=item["pathPrefix"],
-        repetition=_REPETITIONS.get(item.get("kind"), Repetition.ONCE),
+        retry_policy=_REPETITIONS.get(item.get("kind"), RetryPolicy.ONCE),
         timeout=item["timeoutMs"] / 1000,
         objective=item.get("latencyGoalMs", item["timeoutMs"]) / 1000,
         gap=(item.get("gapAimMs") or 0) / 1000,
-        rank=int(item.get("priority") or 0),
+        priority=int(item.get("priority") or 0),
         shares=shares,
         max_runners=max(1, int(item.get("maxAttempts") or 1)),
         needs_key=not item.get("public", False),
@@ -131,7 +131,7 @@
     return Account(
         name=item["name"],
         keys=tuple(item.get("apiKeys") or ()),
-        rank=None if priority is None else int(priority),
+        priority=None if priority is None else int(priority),
         prepaid=None if prepaid is None else int(prepaid),
     )
 
--- a/knapweedrail/platform/encoding.py
+++ b/knapweedrail/platform/encoding.py
@@ -11,7 +11,7 @@
     Account,
     Configuration,
     Endpoint,
-    Repetition,
+    RetryPolicy,
     Route,
     Runner,
     RunnerState,
@@ -20,9 +20,9 @@
 from .entries import DRAINING, READY
 
 _KINDS = {
-    Repetition.SAFE: "safe",
-    Repetition.ONCE: "unsafe",
-    Repetition.STREAM: "streaming",
+    RetryPolicy.SAFE: "safe",
+    RetryPolicy.ONCE: "unsafe",
+    RetryPolicy.STREAM: "streaming",
 }
 
 _STATES = {RunnerState.READY: READY, RunnerState.LEAVING: DRAINING}
@@ -68,12 +68,12 @@
         "name": route.name,
         "host": route.host,
         "pathPrefix": route.prefix,
-        "kind": _KINDS[route.repetition],
+        "kind": _KINDS[route.retry_policy],
         "resumable": route.resumable,
         "timeoutMs": round(route.timeout * 1000),
         "latencyGoalMs": round(route.objective * 1000),
         "gapAimMs": round(route.gap * 1000),
-        "priority": route.rank,
+        "priority": route.priority,
         "maxAttempts": route.max_runners,
         "public": not route.needs_key,
         "trafficSplit": shares,
@@ -94,8 +94,8 @@
 
 def _encode_account(account: Account) -> dict[str, Any]:
     spec: dict[str, Any] = {"name": account.name, "apiKeys": list(account.keys)}
-    if account.rank is not None:
-        spec["priority"] = account.rank
+    if account.priority is not None:
+        spec["priority"] = account.priority
     if account.prepaid is not None:
         spec["prepaid"] = account.prepaid
     return spec
--- a/knapweedrail/platform/relays.py
+++ b/knapweedrail/platform/relays.py
@@ -5,11 +5,11 @@
 import socket
 from collections.abc import Callable
 
-from ..relay.daemons import VANISHED_GRACE_SECONDS, Relay
 from ..relay.malformed import MalformedObjects
-from ..relay.measures import InstrumentedStore, RelayMeasures
 from ..relay.members import MEMBER_KIND
+from ..relay.metrics import InstrumentedStore, RelayMetrics
 from ..relay.options import RelaySettings
+from ..relay.process import VANISHED_GRACE_SECONDS, Relay
 from ..relay.runners import RunnerTable
 from ..relay.store_probe import StoreProbe
 from ..relay.stores import Store
@@ -32,9 +32,9 @@
         listener: Socket that listens on the address for callers.
         count_dropped: Returns the number of log lines dropped so far.
     """
-    measures = RelayMeasures()
-    malformed = MalformedObjects(measures.count_malformed)
-    store = InstrumentedStore(PlatformStore(settings.store_address), measures)
+    metrics = RelayMetrics()
+    malformed = MalformedObjects(metrics.count_malformed)
+    store = InstrumentedStore(PlatformStore(settings.store_address), metrics)
     configuration, runners = make_followers(settings, store, malformed)
     return Relay(
         settings,
@@ -43,7 +43,7 @@
         configuration,
         runners,
         PlatformCodec(),
-        measures,
+        metrics,
         malformed,
         count_dropped,
     )
@@ -63,7 +63,7 @@
         settings.configuration_batch_seconds,
         malformed,
         probe,
-        settings.configuration_limit_seconds,
+        settings.configuration_max_age_seconds,
     )
     runners = RunnerWatcher(
         store,
@@ -74,6 +74,6 @@
         settings.runner_batch_seconds,
         malformed,
         probe,
-        settings.runner_limit_seconds,
+        settings.runner_max_age_seconds,
     )
     return configuration, runners
--- a/knapweedrail/platform/requests.py
+++ b/knapweedrail/platform/requests.py
@@ -79,7 +79,7 @@
             key=None if key is None else key.decode("latin-1").strip(),
             deadline=None if deadline is None else deadline / 1000,
             prompt_tokens=prompt,
-            most_output=output,
+            max_output_tokens=output,
             parts=_parse_prompt_parts(single.get(names.PROMPT_PREFIX)),
             last_event=None if last_event is None else int(last_event),
         )
@@ -90,7 +90,7 @@
         runner: Runner,
         account: str | None,
         seconds: float,
-        rank: int | None,
+        priority: int | None,
         body_bytes: int | None,
         last_event: int | None,
     ) -> list[tuple[bytes, bytes]]:
@@ -102,8 +102,8 @@
         headers.append((names.EXPECT_RUNNER, runner.name.encode()))
         if account is not None:
             headers.append((names.ACCOUNT, account.encode()))
-        if rank is not None:
-            headers.append((names.PRIORITY, b"%d" % rank))
+        if priority is not None:
+            headers.append((names.PRIORITY, b"%d" % priority))
         if last_event is not None:
             headers.append((names.LAST_EVENT, b"%d" % last_event))
         if body_bytes is not None:
@@ -136,7 +136,7 @@
             limit=_parse_limit(
                 found.get(names.LIMIT, found.get(names.UNPREFIXED_LIMIT))
             ),
-            unread=tuple(sorted(name.decode("latin-1") for name in unknown)),
+            unknown_headers=tuple(sorted(name.decode("latin-1") for name in unknown)),
         )
 
     def encode_report_request(
--- a/knapweedrail/relay/attempts.py
+++ b/knapweedrail/relay/attempts.py
@@ -286,7 +286,7 @@
         headers = list(head.headers.raw_items())
         services = self._context.services
         answer = services.codec.decode_answer(head.status_code, headers)
-        services.unknown_headers.record(answer.unread, self._view.runner.name)
+        services.unknown_headers.record(answer.unknown_headers, self._view.runner.name)
         return answer
 
     def _compute_first_byte_timeout(self) -> float:
--- a/knapweedrail/relay/codecs.py
+++ b/knapweedrail/relay/codecs.py
@@ -25,7 +25,7 @@
         runner: Runner,
         account: str | None,
         seconds: float,
-        rank: int | None,
+        priority: int | None,
         body_bytes: int | None,
         last_event: int | None,
     ) -> Headers:
@@ -36,7 +36,7 @@
             runner: The runner that gets it.
             account: Name of the client account; ``None`` without one.
             seconds: Remaining time that the caller will wait.
-            rank: Urgency for the runner's queue; ``None`` keeps the runner's default.
+            priority: Urgency for the runner's queue; ``None`` keeps its default.
             body_bytes: Length of the body; ``None`` for a request without one.
             last_event: Number of the last event received, to resume a stream;
                 ``None`` otherwise.
--- a/knapweedrail/relay/closings.py
+++ b/knapweedrail/relay/drain_control.py
@@ -17,7 +17,7 @@
 from .shutdowns import AnswerDurations, Shutdown
 
 
-class Closing:
+class DrainController:
     """Decides which requests are still admitted, and cancels those that run too long.
 
     Args:
@@ -35,10 +35,10 @@
         self._shutdown: Shutdown | None = None
         self._scopes: set[anyio.CancelScope] = set()
         self.closing_connections = False
-        self.answer_times = AnswerDurations()
+        self.answer_durations = AnswerDurations()
 
     @property
-    def begun(self) -> bool:
+    def active(self) -> bool:
         """Whether a shutdown is in progress; each answer then closes its connection."""
         return self._shutdown is not None
 
@@ -48,7 +48,7 @@
         for scope in self._scopes:
             scope.deadline = shutdown.answers_due_at
 
-    def judge(
+    def check_request(
         self, request: CallerRequest, route: Route, now: float, ends_at: float
     ) -> Refusal | None:
         """Return the refusal of a request that has arrived, or None if it is admitted.
@@ -63,7 +63,7 @@
         shutdown = self._shutdown
         if shutdown is None:
             return None
-        slowest = self.answer_times.find_slowest(route.name, now)
+        slowest = self.answer_durations.find_slowest(route.name, now)
         left = shutdown.answers_due_at - now
         if self.closing_connections or not shutdown.admits(now, ends_at - now, slowest):
             return refuse_stopping(left, slowest, self._rng)
@@ -78,7 +78,7 @@
         return None
 
     @contextlib.contextmanager
-    def until_end(self) -> Iterator[anyio.CancelScope]:
+    def bound_by_shutdown(self) -> Iterator[anyio.CancelScope]:
         """Cancel what runs in this context when a shutdown's answers are due.
 
         Without this bound the server closes the connection of a request that has no
@@ -93,7 +93,7 @@
                 self._scopes.discard(scope)
 
 
-def took_its_time(outcome: Answered | Broken | Refusal | None) -> bool:
+def is_duration_sample(outcome: Answered | Broken | Refusal | None) -> bool:
     """Return whether an outcome's duration is a sample of how long answers take.
 
     That holds for successful answers, broken streams and refusals at the deadline, and
--- a/knapweedrail/relay/draws.py
+++ b/knapweedrail/relay/draws.py
@@ -18,8 +18,8 @@
 from .malformed import MalformedObjects
 from .members import Membership
 from .models import Account, Configuration
+from .notifiers import Notifier
 from .reservations import Shortage, find_shortage
-from .signals import Signal
 from .stores import (
     Conflict,
     Missing,
@@ -79,7 +79,7 @@
         store: Store,
         membership: Membership,
         read_configuration: Callable[[], Configuration | None],
-        changed: Signal,
+        changed: Notifier,
         clock: BootClock,
         malformed: MalformedObjects | None = None,
     ) -> None:
@@ -221,7 +221,7 @@
                 await anyio.sleep(random.random() * MAX_CONFLICT_BACKOFF_SECONDS)
         finally:
             holding.refreshing = False
-            self._changed.give()
+            self._changed.notify_all()
 
     async def _peek(self, holding: AccountHolding) -> bool:
         """Peeks at an account's ledger if it is likely to have changed.
--- a/knapweedrail/relay/forwarding.py
+++ b/knapweedrail/relay/forwarding.py
@@ -263,7 +263,7 @@
         allowed = services.retry_budget.try_acquire(
             name, services.count_relays(), time.monotonic()
         )
-        services.measures.repeats.add(1, {"endpoint": name, "allowed": allowed})
+        services.metrics.repeats.add(1, {"endpoint": name, "allowed": allowed})
         return allowed
 
     async def _finish(
@@ -320,7 +320,7 @@
     def _log_failure(self, view: RunnerView, outcome: AttemptFailed) -> None:
         context = self._context
         labels = {"endpoint": context.endpoint.name, "outcome": outcome.kind.value}
-        context.services.measures.attempts.add(1, labels)
+        context.services.metrics.attempts.add(1, labels)
         log_event(
             Event.ATTEMPT_FAILED,
             request=context.request.identity,
@@ -339,7 +339,9 @@
         if not context.may_have_run:
             return 0
         output = context.progress.event_count * context.endpoint.tokens_per_event
-        return context.request.prompt_tokens + min(output, context.request.most_output)
+        return context.request.prompt_tokens + min(
+            output, context.request.max_output_tokens
+        )
 
 
 def draw_retry_after(rng: random.Random) -> float:
--- a/knapweedrail/relay/gateway.py
+++ b/knapweedrail/relay/gateway.py
@@ -10,7 +10,7 @@
 
 from ..events import Event, log_event
 from ..outcomes import Ran, Refusal, RefusalKind
-from .closings import Closing, took_its_time
+from .drain_control import DrainController, is_duration_sample
 from .forwarding import Broken, RequestForwarder, draw_retry_after
 from .holdings import Holdings
 from .models import Account, CallerRequest, Malformed, Route
@@ -72,7 +72,7 @@
         self._holdings = holdings
         self.active_requests = 0
         self.last_request_at = float("-inf")
-        self.closing = Closing(services.rng)
+        self.drain = DrainController(services.rng)
 
     async def __call__(self, scope: dict, receive: Receive, send: Send) -> None:
         """Handle one request."""
@@ -101,7 +101,7 @@
 
     def _should_close_connections(self) -> bool:
         """Return whether callers should reconnect, which leads them to another host."""
-        return self.closing.begun or self._services.overload.is_out_of_rotation(
+        return self.drain.active or self._services.overload.is_out_of_rotation(
             time.monotonic()
         )
 
@@ -126,7 +126,7 @@
         deadline_at = arrived_at + wait
         table: RouteTable = self._configuration.table  # type: ignore[assignment]
         max_bytes = table.configuration.limits.body_bytes
-        with self.closing.until_end() as shutdown_scope:
+        with self.drain.bound_by_shutdown() as shutdown_scope:
             body = await receive_body(receive, max_bytes, deadline_at)
         if shutdown_scope.cancelled_caught:
             body = refuse_stopped(self._services.rng)
@@ -134,7 +134,7 @@
             await self._refuse(response, request.identity, body)
             return
         now = time.monotonic()
-        refusal = self.closing.judge(request, admission.route, now, deadline_at)
+        refusal = self.drain.check_request(request, admission.route, now, deadline_at)
         if refusal is not None:
             await self._refuse(response, request.identity, refusal)
             return
@@ -230,7 +230,7 @@
             )
             await self._refuse(response, request.identity, refusal)
             return
-        with self.closing.until_end() as shutdown_scope:
+        with self.drain.bound_by_shutdown() as shutdown_scope:
             reservation = await self._reserve_tokens(account, request)
         if shutdown_scope.cancelled_caught:
             reservation = refuse_stopped(self._services.rng)
@@ -276,17 +276,17 @@
     ) -> Answered | Broken | Refusal:
         """Run a forwarder, and abort it if the process reaches its shutdown limit."""
         route, began_at = forwarder.route, time.monotonic()
-        timing_id = self.closing.answer_times.begin(route.name, began_at)
+        timing_id = self.drain.answer_durations.begin(route.name, began_at)
         outcome = None
         try:
-            with self.closing.until_end() as shutdown_scope:
+            with self.drain.bound_by_shutdown() as shutdown_scope:
                 outcome = await forwarder.run()
             if shutdown_scope.cancelled_caught:
                 outcome = forwarder.abort()
             return outcome
         finally:
-            self.closing.answer_times.end(
-                route.name, timing_id, time.monotonic(), took_its_time(outcome)
+            self.drain.answer_durations.end(
+                route.name, timing_id, time.monotonic(), is_duration_sample(outcome)
             )
 
     def _record_outcome(
@@ -297,18 +297,18 @@
         began_at: float,
         used: int,
     ) -> None:
-        measures = self._services.measures
+        metrics = self._services.metrics
         route = context.route.name
         kind = type(outcome).__name__.lower()
-        measures.requests.add(1, {"route": route, "outcome": kind})
+        metrics.requests.add(1, {"route": route, "outcome": kind})
         first_byte_at = context.response.first_byte_at
         if first_byte_at is not None:
-            measures.first_byte.record(first_byte_at - began_at, {"route": route})
+            metrics.first_byte.record(first_byte_at - began_at, {"route": route})
         gap = context.response.longest_gap
         if gap is not None:
             # Recorded once for each stream, as recording a value for each chunk would
             # cost more than passing the chunk on.
-            measures.gaps.record(gap, {"route": route})
+            metrics.gaps.record(gap, {"route": route})
         if not isinstance(outcome, Answered):
             return
         now = time.monotonic()
@@ -334,13 +334,13 @@
     ) -> Reservation | Refusal:
         if account is None:
             return Reservation(None, 0)
-        result = await self._holdings.reserve(account, request.most_tokens)
+        result = await self._holdings.reserve(account, request.max_tokens)
         if isinstance(result, Shortage):
             log_event(
                 Event.TOKENS_SHORT,
                 request=request.identity,
                 account=account.name,
-                tokens=request.most_tokens,
+                tokens=request.max_tokens,
                 **self._holdings.describe(account),
             )
         match result:
@@ -365,7 +365,7 @@
             peer=refusal.peer,
             detail=refusal.detail,
         )
-        self._services.measures.refusals.add(1, {"kind": refusal.kind.value})
+        self._services.metrics.refusals.add(1, {"kind": refusal.kind.value})
         status = HTTP_STATUSES.get(refusal.kind, 503)
         if status == 503 and refusal.ran is not Ran.NOT_RUN:
             status = 502
--- a/knapweedrail/relay/holdings.py
+++ b/knapweedrail/relay/holdings.py
@@ -23,9 +23,9 @@
 from .malformed import MalformedObjects
 from .members import Membership
 from .models import Account, Configuration
+from .notifiers import Notifier
 from .peers import LEND_SECONDS, PeerClient, TokenLender, Trade, TradeAnswer
 from .reservations import Reservation, Shortage
-from .signals import Signal
 from .stores import Store
 
 REFILL_INTERVAL_SECONDS = 1.0
@@ -70,7 +70,7 @@
         self._clock = clock or BootClock()
         self._membership = membership
         self._holder = membership.member.holder
-        self._changed = Signal()
+        self._changed = Notifier()
         self._updater = LedgerUpdater(
             store,
             membership,
@@ -141,7 +141,7 @@
             )
             if received:
                 allowance.demand.record_return(received, time.monotonic())
-                self._changed.give()
+                self._changed.notify_all()
         shortage = None
         if trade.needed > allowance.available:
             shortage = await self._draw_for_peer(holding, trade.needed)
--- a/knapweedrail/relay/loans.py
+++ b/knapweedrail/relay/loans.py
@@ -10,9 +10,9 @@
 from .grants import plan_borrow, plan_return
 from .members import Membership
 from .models import Member
+from .notifiers import Notifier
 from .peers import PeerClient, Trade, TradeAnswer
 from .reservations import Shortage
-from .signals import Signal
 
 SETTLEMENT_PROMPT_SECONDS = 4.0
 """Pause between prompts to settle one ended incarnation. Its host settles within a few
@@ -29,7 +29,7 @@
     """
 
     def __init__(
-        self, peers: PeerClient, membership: Membership, changed: Signal
+        self, peers: PeerClient, membership: Membership, changed: Notifier
     ) -> None:
         self._peers = peers
         self._membership = membership
@@ -51,7 +51,7 @@
             return await self._borrow_from_lenders(holding)
         finally:
             holding.borrowing = False
-            self._changed.give()
+            self._changed.notify_all()
 
     async def return_excess(self, holding: AccountHolding) -> None:
         """Returns borrowed tokens that aren't needed to the account's primary relay."""
@@ -186,5 +186,5 @@
             self._membership.update_incarnation(member, answer.lender)
         elif loan is not None:
             loan.acknowledge(trade.returned, trade.spent)
-        self._changed.give()
+        self._changed.notify_all()
         return answer
--- a/knapweedrail/relay/logs.py
+++ b/knapweedrail/relay/logs.py
@@ -72,7 +72,7 @@
         self._second = 0
         self._lines = 0
         self._dropped_by_type: collections.Counter[str] = collections.Counter()
-        self.left_out = 0
+        self.dropped = 0
 
     def start(self) -> None:
         """Start the writer thread."""
@@ -127,7 +127,7 @@
 
     def _drop(self, kind: str) -> None:
         self._dropped_by_type[kind] += 1
-        self.left_out += 1
+        self.dropped += 1
 
     def _write(self) -> None:
         try:
--- a/knapweedrail/relay/measures.py
+++ b/knapweedrail/relay/metrics.py
@@ -39,7 +39,7 @@
 """Interval of log lines about the calls to the store."""
 
 
-class RelayMeasures(Measures):
+class RelayMetrics(Measures):
     """All metrics of a relay.
 
     Attributes:
@@ -84,7 +84,7 @@
             await anyio.to_thread.run_sync(import_exporter)
             self.export()
 
-    async def watch_delay(self, overload: OverloadMonitor) -> None:
+    async def monitor_loop_delay(self, overload: OverloadMonitor) -> None:
         """Measure, record and log the event loop's delay until cancelled.
 
         Args:
@@ -139,12 +139,12 @@
 
     Args:
         store: The store to which calls are delegated.
-        measures: Metrics in which calls are counted.
+        metrics: Metrics in which calls are counted.
     """
 
-    def __init__(self, store: Store, measures: RelayMeasures) -> None:
+    def __init__(self, store: Store, metrics: RelayMetrics) -> None:
         self._store = store
-        self._measures = measures
+        self._metrics = metrics
         self._started: Counter[str] = Counter()
 
     async def list_kind(self, kind: str, stale: bool = False) -> Any:
@@ -186,5 +186,5 @@
         self._started[f"{step} {kind}"] += 1
         outcome = await call
         name = type(outcome).__name__.lower()
-        self._measures.store_calls.add(1, {"step": step, "kind": kind, "outcome": name})
+        self._metrics.store_calls.add(1, {"step": step, "kind": kind, "outcome": name})
         return outcome
--- a/knapweedrail/relay/models.py
+++ b/knapweedrail/relay/models.py
@@ -7,7 +7,7 @@
 import attrs
 
 
-class Repetition(enum.Enum):
+class RetryPolicy(enum.Enum):
     """Which requests of a route may be sent again.
 
     ``SAFE`` requests may always be repeated, ``ONCE`` requests run at most once, and a
@@ -38,7 +38,7 @@
         timeout: Longest time that a caller is kept waiting, seconds.
         objective: Callers' objective for the time to the first byte, seconds.
         gap: Callers' objective for the longest pause between events, seconds.
-        rank: Urgency; 0 is the most urgent.
+        priority: Urgency; 0 is the most urgent.
         shares: Endpoints and the weight of each.
         max_runners: Largest number of runners to which one request may be sent.
         needs_key: Whether the caller must send an API key.
@@ -48,11 +48,11 @@
     name: str
     host: str
     prefix: str
-    repetition: Repetition
+    retry_policy: RetryPolicy
     timeout: float
     objective: float
     gap: float
-    rank: int
+    priority: int
     shares: tuple[Share, ...]
     max_runners: int
     needs_key: bool
@@ -61,9 +61,9 @@
     @property
     def repeatable(self) -> bool:
         """Whether a request that may have run may be sent to another runner."""
-        if self.repetition is Repetition.STREAM:
+        if self.retry_policy is RetryPolicy.STREAM:
             return self.resumable
-        return self.repetition is Repetition.SAFE
+        return self.retry_policy is RetryPolicy.SAFE
 
 
 @attrs.frozen(kw_only=True)
@@ -90,13 +90,13 @@
 
     Attributes:
         keys: API keys.
-        rank: Urgency that overrides the route's; ``None`` uses the route's.
+        priority: Urgency that overrides the route's; ``None`` uses the route's.
         prepaid: Total number of tokens that it may use; ``None`` for no limit.
     """
 
     name: str
     keys: tuple[str, ...]
-    rank: int | None = None
+    priority: int | None = None
     prepaid: int | None = None
 
 
@@ -208,14 +208,14 @@
     key: str | None
     deadline: float | None
     prompt_tokens: int = 0
-    most_output: int = 0
+    max_output_tokens: int = 0
     parts: tuple[PromptPart, ...] = ()
     last_event: int | None = None
 
     @property
-    def most_tokens(self) -> int:
+    def max_tokens(self) -> int:
         """Largest number of tokens that the request may use."""
-        return self.prompt_tokens + self.most_output
+        return self.prompt_tokens + self.max_output_tokens
 
 
 @attrs.frozen
@@ -260,7 +260,7 @@
     idle_seconds: float | None
     runner: str | None = None
     limit: float | None = None
-    unread: tuple[str, ...] = ()
+    unknown_headers: tuple[str, ...] = ()
 
 
 @attrs.frozen
--- a/knapweedrail/relay/signals.py
+++ b/knapweedrail/relay/notifiers.py
@@ -5,13 +5,13 @@
 import anyio
 
 
-class Signal:
+class Notifier:
     """Repeatable event: each notification wakes all tasks that wait at that moment."""
 
     def __init__(self) -> None:
         self._event = anyio.Event()
 
-    def give(self) -> None:
+    def notify_all(self) -> None:
         """Wake all tasks that wait now."""
         self._event.set()
         self._event = anyio.Event()
--- a/knapweedrail/relay/options.py
+++ b/knapweedrail/relay/options.py
@@ -103,16 +103,16 @@
         hold again, also for changes that were acknowledged in the meantime.
         """
         seconds = self.contact_milliseconds / 1000 - CATCH_UP_SECONDS
-        return max(MIN_WATCH_SECONDS, seconds - self.beat_seconds)
+        return max(MIN_WATCH_SECONDS, seconds - self.heartbeat_seconds)
 
     @property
-    def configuration_limit_seconds(self) -> float:
+    def configuration_max_age_seconds(self) -> float:
         """Age up to which a configuration counts as confirmed, seconds.
 
         Each watch confirms it, by this relay or by a relay that sends updates to this
         one.
         """
-        watch = self.configuration_watch_seconds + self.beat_seconds
+        watch = self.configuration_watch_seconds + self.heartbeat_seconds
         return watch + CATCH_UP_SECONDS + MAX_AGE_SLACK_SECONDS
 
     @property
@@ -125,25 +125,25 @@
         noticed by the end of both times.
         """
         bound = self.contact_milliseconds + self.leaving_milliseconds
-        seconds = bound / 1000 - MARGIN_SECONDS - self.beat_seconds
+        seconds = bound / 1000 - MARGIN_SECONDS - self.heartbeat_seconds
         return max(MIN_WATCH_SECONDS, seconds)
 
     @property
-    def runner_limit_seconds(self) -> float:
+    def runner_max_age_seconds(self) -> float:
         """Age up to which the list of runners counts as confirmed, seconds."""
-        watch = self.runner_watch_seconds + self.beat_seconds
+        watch = self.runner_watch_seconds + self.heartbeat_seconds
         return watch + CATCH_UP_SECONDS + MAX_AGE_SLACK_SECONDS
 
     @property
-    def beat_seconds(self) -> float:
+    def heartbeat_seconds(self) -> float:
         """Interval of heartbeats to a relay that sends updates, seconds."""
         bound = min(self.configuration_milliseconds, self.leaving_milliseconds)
         return HEARTBEAT_SHARE * bound / 1000
 
     @property
-    def silence_seconds(self) -> float:
+    def heartbeat_timeout_seconds(self) -> float:
         """Time without an answer to heartbeats after which a relay is given up."""
-        return MAX_MISSED_HEARTBEATS * self.beat_seconds
+        return MAX_MISSED_HEARTBEATS * self.heartbeat_seconds
 
     @property
     def configuration_batch_seconds(self) -> float:
--- a/knapweedrail/relay/daemons.py
+++ b/knapweedrail/relay/process.py
@@ -21,16 +21,16 @@
 from .holdings import Holdings
 from .ledgers import name_holder
 from .malformed import MalformedObjects
-from .measures import InstrumentedStore, RelayMeasures, read_per_account
 from .members import Membership
+from .metrics import InstrumentedStore, RelayMetrics, read_per_account
 from .models import Configuration, Member
+from .notifiers import Notifier
 from .options import RelaySettings
 from .overload import OverloadMonitor
 from .peers import PeerClient, make_server
 from .request_context import Services
 from .retries import RetryBudget
 from .shutdowns import Shutdown
-from .signals import Signal
 from .sources import FeedTiming
 from .successors import Successors
 from .suspects import Suspects
@@ -91,7 +91,7 @@
         configuration: Watches the operator's configuration in the store.
         runners: Watches the list of runners in the store.
         codec: Encodes and decodes the platform's headers.
-        measures: Metrics of the process.
+        metrics: Metrics of the process.
         malformed: Records objects in the store that can't be used.
         count_dropped: Returns the number of log lines dropped so far.
     """
@@ -104,7 +104,7 @@
         configuration: ConfigurationWatcher,
         runners: RunnerWatcher,
         codec: Codec,
-        measures: RelayMeasures,
+        metrics: RelayMetrics,
         malformed: MalformedObjects,
         count_dropped: Callable[[], int],
     ) -> None:
@@ -133,7 +133,7 @@
             self._peers,
             GrpcDialer(),
             (configuration, runners),
-            FeedTiming(settings.beat_seconds, settings.silence_seconds),
+            FeedTiming(settings.heartbeat_seconds, settings.heartbeat_timeout_seconds),
             settings.first_start,
         )
         self._peer_server = make_server(
@@ -145,9 +145,9 @@
         )
         self._suspects = Suspects()
         self._overload = OverloadMonitor()
-        self._told: list[str] = []
-        self._told_more = Signal()
-        self._limits: dict[str, LimitNews] = {}
+        self._pending_suspects: list[str] = []
+        self._pending_added = Notifier()
+        self._pending_limits: dict[str, LimitNews] = {}
         runners.table.find_standing = self._membership.find_standing
         self._successors = Successors(
             self._pool,
@@ -166,9 +166,9 @@
             ),
             data_centre=settings.data_centre,
             rng=random.Random(),
-            measures=measures,
+            metrics=metrics,
             suspects=self._suspects,
-            send_suspects=self._tell_suspects,
+            send_suspects=self._queue_suspects,
             overload=self._overload,
             count_relays=lambda: self._membership.count,
             report_mismatch=self._successors.note,
@@ -179,12 +179,12 @@
             self._gateway, settings.caller_address, ServerLimits(), listener
         )
         configuration.subscribe(self._set_limits)
-        self._measures = measures
+        self._metrics = metrics
         self._add_gauges(count_dropped)
         self._metrics_server: HttpServer | None = None
         if settings.metrics_address:
             self._metrics_server = HttpServer(
-                measures.answer, settings.metrics_address, ServerLimits()
+                metrics.answer, settings.metrics_address, ServerLimits()
             )
         self._ready_server = HttpServer(
             self._answer_ready, settings.ready_address, ServerLimits()
@@ -202,7 +202,7 @@
             data_centre=self._settings.data_centre,
             watch_seconds=self._settings.configuration_watch_seconds,
         )
-        group.start_soon(self._measures.watch_delay, self._overload)
+        group.start_soon(self._metrics.monitor_loop_delay, self._overload)
         for task in (
             self._configuration,
             self._runners,
@@ -220,7 +220,7 @@
         await self._caller_server.start(group)
         group.start_soon(self._store.report_calls)
         group.start_soon(self._prune)
-        group.start_soon(self._tell_waiting)
+        group.start_soon(self._send_pending)
 
     async def close(self, requested_at: float) -> None:
         """Shut down gracefully within the grace period of the settings.
@@ -233,7 +233,7 @@
                 clock, seconds.
         """
         shutdown = Shutdown(requested_at, self._settings.stop_seconds)
-        self._gateway.closing.begin(shutdown)
+        self._gateway.drain.begin(shutdown)
         log_event(
             Event.ROUTER_STOPPING,
             under_way=self._gateway.active_requests,
@@ -241,7 +241,7 @@
             ends_after=round(shutdown.answers_due_at - requested_at, 4),
         )
         await self._wait_until_quiet(shutdown)
-        self._gateway.closing.closing_connections = True
+        self._gateway.drain.closing_connections = True
         left = shutdown.answers_due_at + FLUSH_SECONDS - time.monotonic()
         await self._caller_server.close(max(FLUSH_SECONDS, left))
         await self._update_feed.close()
@@ -259,12 +259,12 @@
         with anyio.move_on_after(FLUSH_SECONDS):
             await self._peers.close()
             await self._peer_server.close()
-        self._measures.close()
+        self._metrics.close()
         self._store.log_call_counts()
         log_event(Event.ROUTER_STOPPED, left=self._gateway.active_requests)
 
     def _add_gauges(self, count_dropped: Callable[[], int]) -> None:
-        add = self._measures.add_gauge
+        add = self._metrics.add_gauge
         add("ages_seconds", "Age of what is known", self._read_ages)
         add("runners", "Runners listed, by endpoint", self._count_runners)
         add("tokens_available", "Tokens held and free, by account", self._read_tokens)
@@ -319,21 +319,21 @@
                 log_event(Event.RUNNER_UNLISTED, runner=runner.name, forgotten=True)
             await self._pool.prune(now, self._runners.table.list_incarnations())
             self._suspects.prune(now)
-            if self._measures.has_many:
-                await self._measures.prepare_export()
+            if self._metrics.has_many:
+                await self._metrics.prepare_export()
 
-    async def _tell_waiting(self) -> None:
+    async def _send_pending(self) -> None:
         """Send pending suspects and limits to other relays, one batch at a time.
 
         Suspects of one crash go out in one message. The task waits to be notified,
         since polling would use processor time on an idle relay.
         """
         while True:
-            if not (self._told or self._limits):
-                await self._told_more.wait()
+            if not (self._pending_suspects or self._pending_limits):
+                await self._pending_added.wait()
             await anyio.sleep(SEND_DELAY_SECONDS)
-            lines, self._told = self._told, []
-            limits, self._limits = list(self._limits.values()), {}
+            lines, self._pending_suspects = self._pending_suspects, []
+            limits, self._pending_limits = list(self._pending_limits.values()), {}
             members = self._membership.list_others()
             if lines:
                 await self._peers.send_suspects(members, lines)
@@ -341,13 +341,13 @@
                 random.shuffle(members)
                 await self._peers.send_limits(members[:LIMIT_FANOUT], limits)
 
-    def _tell_suspects(self, lines: list[str]) -> None:
-        self._told.extend(lines)
-        self._told_more.give()
+    def _queue_suspects(self, lines: list[str]) -> None:
+        self._pending_suspects.extend(lines)
+        self._pending_added.notify_all()
 
     def _queue_limit(self, news: LimitNews) -> None:
-        self._limits[news.runner] = news
-        self._told_more.give()
+        self._pending_limits[news.runner] = news
+        self._pending_added.notify_all()
 
     def _receive_limits(self, limits: list[LimitNews]) -> None:
         """Apply limits of runners, and forward those that were new to this relay."""
@@ -367,7 +367,7 @@
     async def _answer_ready(self, scope: dict, receive: object, send: object) -> None:
         configured = self._configuration.table is not None
         out_of_rotation = self._overload.is_out_of_rotation(time.monotonic())
-        ready = configured and not out_of_rotation and not self._gateway.closing.begun
+        ready = configured and not out_of_rotation and not self._gateway.drain.active
         status = 200 if ready else 503
         await send(
             {
--- a/knapweedrail/relay/request_context.py
+++ b/knapweedrail/relay/request_context.py
@@ -13,7 +13,7 @@
 from ..limits import LimitNews
 from .codecs import Codec
 from .connections import ConnectionPool
-from .measures import RelayMeasures
+from .metrics import RelayMetrics
 from .models import CallerRequest, Endpoint, Route, Runner, RunnerAnswer
 from .overload import OverloadMonitor
 from .response_writer import ResponseWriter
@@ -92,7 +92,7 @@
     retry_budget: RetryBudget
     data_centre: str
     rng: random.Random
-    measures: RelayMeasures
+    metrics: RelayMetrics
     suspects: Suspects
     send_suspects: Callable[[list[str]], None]
     overload: OverloadMonitor
--- a/knapweedrail/relay/routes.py
+++ b/knapweedrail/relay/routes.py
@@ -69,8 +69,8 @@
         equal priority by that of their route. Without an account the route's priority
         takes the place of the account's.
         """
-        account_rank = account.rank if account is not None else None
-        priority_key = _make_priority_key(route.rank, account_rank)
+        account_rank = account.priority if account is not None else None
+        priority_key = _make_priority_key(route.priority, account_rank)
         same_account = [
             pair for pair in self._sorted_keys if pair[0] == priority_key[0]
         ]
@@ -97,8 +97,8 @@
 
 def _list_priority_keys(configuration: Configuration) -> list[tuple[int, int]]:
     """Return the (account, route) priorities that requests may have, sorted."""
-    accounts = {account.rank for account in (configuration.accounts or {}).values()}
-    routes = {route.rank for route in configuration.routes}
+    accounts = {account.priority for account in (configuration.accounts or {}).values()}
+    routes = {route.priority for route in configuration.routes}
     return sorted(
         {
             _make_priority_key(route, account)
--- a/knapweedrail/relay/supplies.py
+++ b/knapweedrail/relay/supplies.py
@@ -4,14 +4,14 @@
 
 from abc import ABC, abstractmethod
 
+from .notifiers import Notifier
 from .replicas import KindUpdate, Replica
-from .signals import Signal
 
 
 class Supply(ABC):
     """Source of updates that may replace a watcher's own calls to the store."""
 
-    changed: Signal
+    changed: Notifier
     """Notified whenever the result of `compute_poll_delay` may have changed."""
 
     @abstractmethod
@@ -37,7 +37,7 @@
     """Replaces no calls; for a relay without peers."""
 
     def __init__(self) -> None:
-        self.changed = Signal()
+        self.changed = Notifier()
 
     def measure_rest(self, kind: str, limit: float) -> float:
         return 0.0
--- a/knapweedrail/relay/update_feed.py
+++ b/knapweedrail/relay/update_feed.py
@@ -27,9 +27,9 @@
 )
 from .members import Membership
 from .models import Member
+from .notifiers import Notifier
 from .peers import PeerClient
 from .replicas import KindUpdate, UpdateRejectedError, decode_items
-from .signals import Signal
 from .sources import SOURCE_COUNT, FeedTiming, Source
 from .supplies import NewsTaker, Supply
 
@@ -61,7 +61,7 @@
     clock: float
     sent_revisions: dict[str, int]
     reply_due: bool = True
-    update_available: Signal = attrs.field(factory=Signal)
+    update_available: Notifier = attrs.field(factory=Notifier)
 
     def record_sent(self, reply: FeedReply) -> None:
         """Record that a reply is sent to it."""
@@ -94,7 +94,7 @@
     ) -> None:
         super().__init__("news")
         self._first_start = first_start
-        self.changed = Signal()
+        self.changed = Notifier()
         self._membership = membership
         self._peers = peers
         self._dialer = dialer
@@ -119,7 +119,7 @@
     async def run(self) -> None:
         async with anyio.create_task_group() as group:
             await self._membership.first_listed.wait()
-            self.changed.give()
+            self.changed.notify_all()
             for slot in range(SOURCE_COUNT):
                 group.start_soon(self._maintain_source, slot)
 
@@ -148,7 +148,7 @@
 
     def note_change(self) -> None:
         for subscriber in self._subscribers:
-            subscriber.update_available.give()
+            subscriber.update_available.notify_all()
 
     def note_back(self) -> None:
         self._available_at = time.monotonic()
@@ -176,7 +176,7 @@
     def _handle_subscriber_change(self) -> None:
         for receiver in self._receivers.values():
             receiver.replica.keep_patches = self.has_subscribers
-        self.changed.give()
+        self.changed.notify_all()
 
     async def _receive_requests(
         self, link: SubscriberLink, subscriber: _Subscriber
@@ -187,7 +187,7 @@
                     request = await link.receive()
                 subscriber.clock = request.clock
                 subscriber.reply_due = True
-                subscriber.update_available.give()
+                subscriber.update_available.notify_all()
         except (LinkLostError, TimeoutError):
             return
 
@@ -238,7 +238,7 @@
             self._sources[slot] = None
             if not answered:
                 self._peers.record_failure(member, time.monotonic())
-            self.changed.give()
+            self.changed.notify_all()
 
     def _choose_source(self, slot: int) -> Member | None:
         now = time.monotonic()
--- a/knapweedrail/relay/watchers.py
+++ b/knapweedrail/relay/watchers.py
@@ -98,7 +98,7 @@
                 log_event(Event.NEWS_FETCHED, kind=self._kind, reason=str(error))
                 self._needed_revision = max(self._needed_revision, update.revision)
                 self._list_next = True
-                self.supply.changed.give()
+                self.supply.changed.notify_all()
             raise
         self._apply_changes(changes)
         if confirmed_at > self.confirmed_at and not self.fetching:
--- a/knapweedrail/soak/worlds.py
+++ b/knapweedrail/soak/worlds.py
@@ -25,7 +25,7 @@
     CallerLimits,
     Configuration,
     Endpoint,
-    Repetition,
+    RetryPolicy,
     Runner,
     RunnerState,
     Share,
@@ -58,10 +58,10 @@
 PORTS_PER_RELAY = 3
 RUNNER_SLOTS = 8
 REPETITIONS = {
-    Kind.SAFE: Repetition.SAFE,
-    Kind.ONCE: Repetition.ONCE,
-    Kind.STREAM: Repetition.STREAM,
-    Kind.RESUMED: Repetition.STREAM,
+    Kind.SAFE: RetryPolicy.SAFE,
+    Kind.ONCE: RetryPolicy.ONCE,
+    Kind.STREAM: RetryPolicy.STREAM,
+    Kind.RESUMED: RetryPolicy.STREAM,
 }
 
 
@@ -348,11 +348,11 @@
         name=name,
         host=HOST,
         prefix=f"/{name}/",
-        repetition=REPETITIONS[kind],
+        retry_policy=REPETITIONS[kind],
         timeout=kind.timeout,
         objective=0.3,
         gap=0.1,
-        rank=0,
+        priority=0,
         shares=(Share(ENDPOINT, 1.0),),
         max_runners=2,
         needs_key=True,
--- a/knapweedrail/standins/newsfleet.py
+++ b/knapweedrail/standins/newsfleet.py
@@ -191,7 +191,7 @@
             CONFIGURATION_NAME,
             settings.configuration_batch_seconds,
             probe=probe,
-            limit_seconds=settings.configuration_limit_seconds,
+            limit_seconds=settings.configuration_max_age_seconds,
         )
         runners = RunnerWatcher(
             store,
@@ -201,7 +201,7 @@
             RunnerTable(DOUBT_SECONDS),
             settings.runner_batch_seconds,
             probe=probe,
-            limit_seconds=settings.runner_limit_seconds,
+            limit_seconds=settings.runner_max_age_seconds,
         )
         membership = Membership(store, member)
         news = UpdateFeed(
@@ -209,7 +209,7 @@
             PeerClient(),
             PlayedDialer(self, host),
             (configuration, runners),
-            FeedTiming(settings.beat_seconds, settings.silence_seconds),
+            FeedTiming(settings.heartbeat_seconds, settings.heartbeat_timeout_seconds),
             first_start=host not in self._seen,
         )
         self._group.start_soon(
--- a/knapweedrail/standins/playedstore.py
+++ b/knapweedrail/standins/playedstore.py
@@ -9,7 +9,7 @@
 import anyio
 
 from ..outcomes import Unavailable
-from ..relay.signals import Signal
+from ..relay.notifiers import Notifier
 from ..relay.stores import (
     Change,
     Changes,
@@ -50,7 +50,7 @@
         self.lost: set[str] = set()
         self.price = 0.0
         self.calls: Counter[str] = Counter()
-        self.changed = Signal()
+        self.changed = Notifier()
         self._objects: dict[tuple[str, str], StoredObject] = {}
         self._events: list[tuple[float, int, str, Change]] = []
         self._oldest = 0
@@ -142,7 +142,7 @@
 
     def _note(self, kind: str, change: Change) -> None:
         self._events.append((time.monotonic(), self.revision, kind, change))
-        self.changed.give()
+        self.changed.notify_all()
 
 
 class StoreOfHost(Store):
--- a/knapweedrail/tests/relays_in_memory.py
+++ b/knapweedrail/tests/relays_in_memory.py
@@ -17,15 +17,15 @@
 from ..relay.connections import ConnectionPool
 from ..relay.gateway import Gateway
 from ..relay.holdings import Holdings
-from ..relay.measures import RelayMeasures
 from ..relay.members import Membership
+from ..relay.metrics import RelayMetrics
 from ..relay.models import (
     Account,
     CallerLimits,
     Configuration,
     Endpoint,
     Member,
-    Repetition,
+    RetryPolicy,
     Route,
     Runner,
     RunnerState,
@@ -231,17 +231,17 @@
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
-def make_route(repetition: Repetition, prefix: str = "/a/", **changes: Any) -> Route:
+def make_route(retry_policy: RetryPolicy, prefix: str = "/a/", **changes: Any) -> Route:
     """Return a route to the endpoint ``e``."""
     route = Route(
         name="r",
         host="h.example",
         prefix=prefix,
-        repetition=repetition,
+        retry_policy=retry_policy,
         timeout=3.0,
         objective=0.3,
         gap=0.1,
-        rank=1,
+        priority=1,
         shares=(Share("e", 1.0),),
         max_runners=2,
         needs_key=True,
@@ -379,7 +379,7 @@
         retry_budget=RetryBudget(1.0, 100.0, 10.0),
         data_centre="dc",
         rng=random.Random(1),
-        measures=RelayMeasures(),
+        metrics=RelayMetrics(),
         suspects=Suspects(),
         send_suspects=lambda lines: None,
         overload=OverloadMonitor(),
--- a/knapweedrail/tests/test_explain.py
+++ b/knapweedrail/tests/test_explain.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ..explanations import explain_request, read_lines
-from ..relay.models import Repetition
+from ..relay.models import RetryPolicy
 from ..relay.shutdowns import Shutdown
 from ..tools import explain
 from .relays_in_memory import (
@@ -50,7 +50,7 @@
 @pytest.mark.anyio
 async def test_a_budget_out_of_reach_is_explained(lines):
     """All relays are cut off from the store, and one has too few tokens."""
-    route = make_route(Repetition.STREAM)
+    route = make_route(RetryPolicy.STREAM)
     async with run_relay(make_configuration(route, prepaid=1000)) as relay:
         relay.store.unavailable = True
         await relay.call(knapweedrail_token_usage="900,50")
@@ -62,7 +62,7 @@
 @pytest.mark.anyio
 async def test_a_broken_stream_is_explained(lines):
     """A runner breaks off a stream that another can't go on with."""
-    route = make_route(Repetition.STREAM)
+    route = make_route(RetryPolicy.STREAM)
     async with run_relay(make_configuration(route), ScriptedRunner(stop_midway)) as r:
         await r.call()
     told = tell(lines)
@@ -73,7 +73,7 @@
 @pytest.mark.anyio
 async def test_an_unknown_outcome_is_explained(lines):
     """A runner resets the connection after it has read a call that may run once."""
-    route = make_route(Repetition.ONCE)
+    route = make_route(RetryPolicy.ONCE)
     async with run_relay(make_configuration(route), ScriptedRunner(break_off)) as r:
         await r.call()
     told = tell(lines)
@@ -102,13 +102,13 @@
 
     async def stop_soon(gateway):
         await anyio.sleep(0.1)
-        gateway.closing.begin(Shutdown(time.monotonic(), 0.3))
+        gateway.drain.begin(Shutdown(time.monotonic(), 0.3))
 
     async def hang(stream, head):
         await anyio.sleep(10)
         return False
 
-    route = make_route(Repetition.ONCE)
+    route = make_route(RetryPolicy.ONCE)
     async with run_relay(make_configuration(route), ScriptedRunner(hang)) as relay:
         async with anyio.create_task_group() as group:
             group.start_soon(stop_soon, relay.gateway)
--- a/knapweedrail/tests/test_measures.py
+++ b/knapweedrail/tests/test_measures.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ..measures import MANY_KEPT, MOST_KEPT, Measures
-from ..relay import measures as relay_measures
+from ..relay import metrics as relay_measures
 
 
 def read_values(text, name):
@@ -76,7 +76,7 @@
 
     importer = relay_measures.import_exporter
     monkeypatch.setattr(relay_measures, "import_exporter", import_slowly)
-    measures = relay_measures.RelayMeasures()
+    measures = relay_measures.RelayMetrics()
     sent = []
 
     async def send(message):
--- a/knapweedrail/tests/test_platform_requests.py
+++ b/knapweedrail/tests/test_platform_requests.py
@@ -20,7 +20,7 @@
     values = {
         "account": "farm",
         "seconds": 1.25,
-        "rank": 2,
+        "priority": 2,
         "body_bytes": 5,
         "last_event": None,
     }
@@ -38,7 +38,7 @@
     )
     assert request.host == "h.example"
     assert request.target == b"/a/x?q=1"
-    assert request.most_tokens == 1540
+    assert request.max_tokens == 1540
     assert request.parts[1] == PromptPart("91", 410)
     assert (request.deadline, request.key, request.last_event) == (5.0, "k1", 12)
 
@@ -133,4 +133,4 @@
     """Guards against a new header of runners that is forwarded but handled nowhere."""
     headers = [(b"X-New", b"1"), (b"Content-Type", b"text/plain"), (b"Date", b"now")]
     headers += [(b"Knapweedrail-Server-Load", b"1,2,3"), (b"Keep-Alive", b"timeout=5")]
-    assert PlatformCodec().decode_answer(200, headers).unread == ("x-new",)
+    assert PlatformCodec().decode_answer(200, headers).unknown_headers == ("x-new",)
--- a/knapweedrail/tests/test_platform_store.py
+++ b/knapweedrail/tests/test_platform_store.py
@@ -12,7 +12,7 @@
 from ..platform.store import PlatformStore
 from ..relay.holdings import Holdings
 from ..relay.members import MEMBER_KIND, Membership
-from ..relay.models import Account, Member, Repetition, RunnerState
+from ..relay.models import Account, Member, RetryPolicy, RunnerState
 from ..relay.peers import PeerClient
 from ..relay.reservations import Reservation, Shortage
 from ..relay.runners import RunnerTable
@@ -122,7 +122,7 @@
 async def test_tokens_are_granted_once_despite_lost_answers():
     """The answers to some writes are lost. A relay that counted the tokens of each
     attempt would hold them twice."""
-    configuration = make_configuration(make_route(Repetition.SAFE), prepaid=1000)
+    configuration = make_configuration(make_route(RetryPolicy.SAFE), prepaid=1000)
     account = Account(name="farm", keys=(), prepaid=1000)
     async with run_store() as (objects, client):
         objects.misbehaviour.lose_answers = 3
@@ -205,7 +205,7 @@
     assert first.repeatable and first.host == "a.example"
     assert [share.weight for share in first.shares] == [90, 10]
     # Requests of an unknown kind run at most once.
-    assert second.repetition is Repetition.ONCE
+    assert second.retry_policy is RetryPolicy.ONCE
     assert found.endpoints["s1"].tokens_per_event == 4
     assert found.accounts["t"].prepaid == 5
     assert found.limits.idle_seconds == 15.0
@@ -223,7 +223,7 @@
 
 
 def test_encoded_objects_decode_to_the_same_values():
-    meant = make_configuration(make_route(Repetition.STREAM), prepaid=5)
+    meant = make_configuration(make_route(RetryPolicy.STREAM), prepaid=5)
     assert decode_configuration(encode_configuration(meant)) == meant
     nobody = attrs.evolve(meant, accounts=None)
     assert decode_configuration(encode_configuration(nobody)) == nobody
--- a/knapweedrail/tests/test_relay_deployments.py
+++ b/knapweedrail/tests/test_relay_deployments.py
@@ -3,7 +3,7 @@
 import attrs
 import pytest
 
-from ..relay.models import Endpoint, Repetition, Share
+from ..relay.models import Endpoint, RetryPolicy, Share
 from .relays_in_memory import (
     ScriptedRunner,
     answer_normally,
@@ -16,7 +16,7 @@
 
 pytestmark = pytest.mark.anyio
 
-SAFE = make_route(Repetition.SAFE)
+SAFE = make_route(RetryPolicy.SAFE)
 
 
 async def test_deployment_without_accounts_needs_no_keys():
@@ -30,7 +30,7 @@
 
 async def test_public_route_ignores_keys_and_tenant_header():
     runner = ScriptedRunner(answer_normally)
-    route = make_route(Repetition.SAFE, needs_key=False)
+    route = make_route(RetryPolicy.SAFE, needs_key=False)
     async with run_relay(make_configuration(route), runner) as relay:
         answer = await relay.call(knapweedrail_tenant="farm")
     assert answer.status == 200
@@ -56,7 +56,7 @@
 async def test_route_split_over_three_endpoints_reaches_all():
     runners = [ScriptedRunner(answer_normally) for _ in range(3)]
     shares = tuple(Share(name, 1.0) for name in ("e", "f", "g"))
-    configuration = make_configuration(make_route(Repetition.SAFE, shares=shares))
+    configuration = make_configuration(make_route(RetryPolicy.SAFE, shares=shares))
     endpoints = {
         name: Endpoint(name=name, health_path="/", max_connections=10)
         for name in ("e", "f", "g")
--- a/knapweedrail/tests/test_relay_draws.py
+++ b/knapweedrail/tests/test_relay_draws.py
@@ -9,9 +9,9 @@
 from ..relay.draws import LEDGER_KIND, LedgerUpdater
 from ..relay.ledgers import AccountLedger, Grant, decode_account, encode_account
 from ..relay.members import Membership
-from ..relay.models import Member, Repetition
+from ..relay.models import Member, RetryPolicy
+from ..relay.notifiers import Notifier
 from ..relay.reservations import Shortage
-from ..relay.signals import Signal
 from .relays_in_memory import ACCOUNT, MemoryStore, make_configuration, make_route
 
 pytestmark = pytest.mark.anyio
@@ -27,9 +27,11 @@
         self.store = MemoryStore()
         membership = Membership(self.store, Member("host", "host/1", "", "dc"))
         membership.settled = True
-        configuration = make_configuration(make_route(Repetition.SAFE), prepaid=PREPAID)
+        configuration = make_configuration(
+            make_route(RetryPolicy.SAFE), prepaid=PREPAID
+        )
         self.updater = LedgerUpdater(
-            self.store, membership, lambda: configuration, Signal(), BootClock()
+            self.store, membership, lambda: configuration, Notifier(), BootClock()
         )
         self.updater.first_request_at = float("-inf")
         self.account = configuration.accounts[ACCOUNT]
--- a/knapweedrail/tests/test_relay_exchanges.py
+++ b/knapweedrail/tests/test_relay_exchanges.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ..relay.attempts import UNRESPONSIVE_SECONDS
-from ..relay.models import Repetition
+from ..relay.models import RetryPolicy
 from ..relay.suspects import CRASH_LIMIT, make_fingerprint
 from .relays_in_memory import (
     WATCH_SECONDS,
@@ -24,10 +24,10 @@
 
 pytestmark = pytest.mark.anyio
 
-SAFE = make_route(Repetition.SAFE)
-ONCE = make_route(Repetition.ONCE)
-STREAM = make_route(Repetition.STREAM, resumable=True)
-NON_RESUMABLE_STREAM = make_route(Repetition.STREAM, resumable=False)
+SAFE = make_route(RetryPolicy.SAFE)
+ONCE = make_route(RetryPolicy.ONCE)
+STREAM = make_route(RetryPolicy.STREAM, resumable=True)
+NON_RESUMABLE_STREAM = make_route(RetryPolicy.STREAM, resumable=False)
 
 
 async def stream_three_events(stream, head):
@@ -261,7 +261,7 @@
         await anyio.sleep(10)
         return False
 
-    route = make_route(Repetition.ONCE, timeout=0.3)
+    route = make_route(RetryPolicy.ONCE, timeout=0.3)
     async with run_relay(make_configuration(route), ScriptedRunner(never_answer)) as r:
         with anyio.fail_after(0.6):
             answer = await r.call()
@@ -363,7 +363,7 @@
 
     # Half of the threshold: long enough to connect on a busy host, and short enough not
     # to count against the runner, as waits of half a second and longer do.
-    route = make_route(Repetition.ONCE, timeout=UNRESPONSIVE_SECONDS / 2)
+    route = make_route(RetryPolicy.ONCE, timeout=UNRESPONSIVE_SECONDS / 2)
     async with run_relay(make_configuration(route), ScriptedRunner(run_long)) as relay:
         for _ in range(5):
             assert (await relay.call()).status == 504
--- a/knapweedrail/tests/test_relay_foreign.py
+++ b/knapweedrail/tests/test_relay_foreign.py
@@ -13,7 +13,7 @@
 from ..platform.pages import parse_page
 from ..relay import malformed
 from ..relay.malformed import MalformedObjects
-from ..relay.models import Repetition
+from ..relay.models import RetryPolicy
 from ..relay.stores import Unreadable
 from ..relay.watchers import RunnerWatcher
 from .relays_in_memory import (
@@ -214,7 +214,7 @@
         return await answer_normally(stream, head)
 
     runner = ScriptedRunner(respond)
-    configuration = make_configuration(make_route(Repetition.ONCE))
+    configuration = make_configuration(make_route(RetryPolicy.ONCE))
     async with run_relay(configuration, runner) as relay:
         listed = WatchedRunners(relay.table)
         assert (await relay.call()).status == 200
--- a/knapweedrail/tests/test_relay_isolation.py
+++ b/knapweedrail/tests/test_relay_isolation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ..relay.models import Repetition
+from ..relay.models import RetryPolicy
 from ..relay.overload import (
     BALANCER_REACTION_SECONDS,
     MIN_OUT_OF_ROTATION_SECONDS,
@@ -22,7 +22,7 @@
 
 pytestmark = pytest.mark.anyio
 
-SAFE = make_route(Repetition.SAFE)
+SAFE = make_route(RetryPolicy.SAFE)
 
 
 def make_table(*data_centres):
--- a/knapweedrail/tests/test_relay_lending.py
+++ b/knapweedrail/tests/test_relay_lending.py
@@ -14,7 +14,7 @@
 from ..relay.holdings import Holdings, compute_refill_pause
 from ..relay.ledgers import decode_account, name_holder
 from ..relay.members import Membership, compute_list_interval, order_lenders
-from ..relay.models import Account, Member, Repetition
+from ..relay.models import Account, Member, RetryPolicy
 from ..relay.peers import PeerClient, Trade, make_server
 from ..relay.reservations import Reservation, Shortage
 from .relays_in_memory import MemoryStore, make_configuration, make_route
@@ -48,7 +48,7 @@
         self.store = MemoryStore()
         self.account = Account(name=ACCOUNT, keys=(), prepaid=prepaid)
         self.configuration = make_configuration(
-            make_route(Repetition.SAFE), prepaid=prepaid
+            make_route(RetryPolicy.SAFE), prepaid=prepaid
         )
         self.holdings = {}
         self.servers = {}
--- a/knapweedrail/tests/test_relay_limits.py
+++ b/knapweedrail/tests/test_relay_limits.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ..limits import LimitNews, LimitRecord
-from ..relay.models import Member, Repetition
+from ..relay.models import Member, RetryPolicy
 from ..relay.peers import PeerClient, make_server
 from ..standins.limitfleet import LimitFleet, allow
 from .relays_in_memory import (
@@ -28,7 +28,7 @@
 other relays have to learn of it."""
 
 HOSTS = ("a", "b", "c")
-SAFE = make_route(Repetition.SAFE)
+SAFE = make_route(RetryPolicy.SAFE)
 
 
 def count_worst(arrivals):
--- a/knapweedrail/tests/test_relay_lives.py
+++ b/knapweedrail/tests/test_relay_lives.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from ..platform.decoding import decode_runner
-from ..relay.models import Repetition
+from ..relay.models import RetryPolicy
 from ..relay.runners import RunnerTable
 from ..relay.stores import StoredObject
 from ..relay.suspects import CRASH_LIMIT, Suspects
@@ -289,7 +289,7 @@
     arrived yet. Each request sent on it would have an unknown outcome."""
     counting = CountingRunner()
     runner = ScriptedRunner(counting.respond)
-    configuration = make_configuration(make_route(Repetition.ONCE))
+    configuration = make_configuration(make_route(RetryPolicy.ONCE))
     async with run_relay(configuration, runner) as relay:
         watched = WatchedRunners(relay.table)
         watched.write("i-0", OLD, address=runner.address)
@@ -321,9 +321,9 @@
         return True
 
     runner = ScriptedRunner(respond)
-    for repetition, arrivals in ((Repetition.ONCE, 1), (Repetition.SAFE, 2)):
+    for retry_policy, arrivals in ((RetryPolicy.ONCE, 1), (RetryPolicy.SAFE, 2)):
         attempts.clear()
-        route = make_route(repetition, max_runners=2)
+        route = make_route(retry_policy, max_runners=2)
         async with run_relay(make_configuration(route), runner) as relay:
             watched = WatchedRunners(relay.table)
             watched.write("i-0", OLD, address=runner.address)
@@ -344,7 +344,7 @@
 
     runner = ScriptedRunner(respond)
     async with run_relay(
-        make_configuration(make_route(Repetition.SAFE)), runner
+        make_configuration(make_route(RetryPolicy.SAFE)), runner
     ) as relay:
         watched = WatchedRunners(relay.table)
         watched.write("i-0", OLD, address=runner.address)
@@ -371,7 +371,7 @@
 
     monkeypatch.setattr(Suspects, "record_crash", capture_crash)
     runner = ScriptedRunner(break_off)
-    route = make_route(Repetition.SAFE)
+    route = make_route(RetryPolicy.SAFE)
     async with run_relay(make_configuration(route), runner) as relay:
         watched = WatchedRunners(relay.table)
         watched.write("i-0", OLD, address=runner.address)
--- a/knapweedrail/tests/test_relay_logs.py
+++ b/knapweedrail/tests/test_relay_logs.py
@@ -49,7 +49,7 @@
         logs({"message_type": f"{number} x", "text": "y" * 100})
     logs.close()
     assert time.monotonic() - began_at < 5.0
-    assert logs.left_out > 0
+    assert logs.dropped > 0
 
 
 def test_excess_lines_are_counted_and_refusals_have_priority():
@@ -69,11 +69,10 @@
         for line in lines
         if line["message_type"] == format_type(Event.LINES_LEFT_OUT)
     ]
-    left_out = sum(sum(line["counts"].values()) for line in reports)
+    dropped = sum(sum(line["counts"].values()) for line in reports)
     # The test may span two seconds of the clock, so up to twice the bound passes.
     assert (
-        kinds.count(format_type(Event.RUNNER_LISTED)) + left_out
-        == LINES_PER_SECOND + 50
+        kinds.count(format_type(Event.RUNNER_LISTED)) + dropped == LINES_PER_SECOND + 50
     )
     assert (
         kinds.count(format_type(Event.REQUEST_REFUSED))
--- a/knapweedrail/tests/test_relay_overload.py
+++ b/knapweedrail/tests/test_relay_overload.py
@@ -6,8 +6,8 @@
 import attrs
 import pytest
 
-from ..relay import connections, gateway, measures, overload
-from ..relay.models import Repetition
+from ..relay import connections, gateway, metrics, overload
+from ..relay.models import RetryPolicy
 from ..relay.overload import (
     MIN_OUT_OF_ROTATION_SECONDS,
     SAMPLE_INTERVAL_SECONDS,
@@ -123,7 +123,7 @@
     """The process is so busy that a connection made in a millisecond is noticed after
     the connect timeout. If runners were ejected for it, none would be left here, and
     the next requests would be refused as if all runners were full."""
-    route = make_route(Repetition.SAFE)
+    route = make_route(RetryPolicy.SAFE)
     async with run_relay(
         make_configuration(route), ScriptedRunner(answer_normally)
     ) as relay:
@@ -138,7 +138,7 @@
 
 @pytest.mark.anyio
 async def test_overload_refusal_closes_the_connection_and_sets_retry_after():
-    route = make_route(Repetition.ONCE)
+    route = make_route(RetryPolicy.ONCE)
     async with run_relay(
         make_configuration(route), ScriptedRunner(answer_normally)
     ) as relay:
@@ -155,7 +155,7 @@
 async def test_event_loop_delay_is_measured():
     monitor = OverloadMonitor()
     with anyio.move_on_after(5 * overload.SAMPLE_INTERVAL_SECONDS):
-        await measures.RelayMeasures().watch_delay(monitor)
+        await metrics.RelayMetrics().monitor_loop_delay(monitor)
     assert 0 < monitor.loop_delay < 0.2
 
 
@@ -165,7 +165,7 @@
     while pooled connections to local runners give no samples. Callers must still be
     served here."""
     monkeypatch.setattr(connections, "CONNECT_SECONDS", 0.0)
-    route = make_route(Repetition.SAFE)
+    route = make_route(RetryPolicy.SAFE)
     async with run_relay(
         make_configuration(route), ScriptedRunner(answer_normally)
     ) as relay:
@@ -185,7 +185,7 @@
     """A request is refused and its connection closed while the caller still sends a
     long prompt. The unread bytes reset the connection, so the caller sees a broken
     connection instead of the refusal with its retry time."""
-    route = make_route(Repetition.ONCE)
+    route = make_route(RetryPolicy.ONCE)
     async with run_relay(
         make_configuration(route), ScriptedRunner(answer_normally)
     ) as relay:
--- a/knapweedrail/tests/test_relay_queue_wait.py
+++ b/knapweedrail/tests/test_relay_queue_wait.py
@@ -6,7 +6,7 @@
 import anyio
 import pytest
 
-from ..relay.models import Repetition
+from ..relay.models import RetryPolicy
 from ..relay.queue_wait import (
     MAX_WAIT_FACTOR,
     compute_retry_after,
@@ -33,7 +33,7 @@
 
 
 def make_stream(objective):
-    return make_route(Repetition.STREAM, objective=objective)
+    return make_route(RetryPolicy.STREAM, objective=objective)
 
 
 class SimulatedQueue:
--- a/knapweedrail/tests/test_relay_door.py
+++ b/knapweedrail/tests/test_relay_raw_requests.py
@@ -6,7 +6,7 @@
 import anyio
 import pytest
 
-from ..relay.models import Repetition
+from ..relay.models import RetryPolicy
 from ..relay.shutdowns import Shutdown
 from ..servers import HttpServer, ServerLimits
 from .relays_in_memory import (
@@ -29,7 +29,7 @@
 @contextlib.asynccontextmanager
 async def run_server():
     runner = ScriptedRunner(answer_normally)
-    configuration = make_configuration(make_route(Repetition.SAFE))
+    configuration = make_configuration(make_route(RetryPolicy.SAFE))
     async with run_relay(configuration, runner) as relay:
         async with anyio.create_task_group() as group:
             server = HttpServer(relay.gateway, "127.0.0.1:0", ServerLimits())
@@ -160,11 +160,11 @@
     asked to shut down. It was admitted, the grace period ended during its answer, and
     the caller got an incomplete answer."""
     runner = ScriptedRunner(answer_normally)
-    route = make_route(Repetition.ONCE)
+    route = make_route(RetryPolicy.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
-        relay.gateway.closing.begin(Shutdown(time.monotonic(), 8.0))
+        relay.gateway.drain.begin(Shutdown(time.monotonic(), 8.0))
         assert (await relay.call()).status == 200
-        relay.gateway.closing.begin(Shutdown(time.monotonic() - 4.0, 8.0))
+        relay.gateway.drain.begin(Shutdown(time.monotonic() - 4.0, 8.0))
         answer = await relay.call()
     assert answer.status == 503
     assert b"stopping" in answer.body and b"not run" in answer.body
@@ -178,10 +178,10 @@
     shutdown. If it were forwarded, it would run without an answer to the caller, whose
     retry would run it a second time."""
     runner = ScriptedRunner(answer_normally)
-    route = make_route(Repetition.ONCE)
+    route = make_route(RetryPolicy.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
-        relay.gateway.closing.begin(Shutdown(time.monotonic(), 8.0))
-        relay.gateway.closing.closing_connections = True
+        relay.gateway.drain.begin(Shutdown(time.monotonic(), 8.0))
+        relay.gateway.drain.closing_connections = True
         answer = await relay.call()
     assert answer.status == 503 and b"not run" in answer.body
     assert runner.heads == []
--- a/knapweedrail/tests/test_relay_recovery.py
+++ b/knapweedrail/tests/test_relay_recovery.py
@@ -8,7 +8,7 @@
 from ..relay.holdings import Holdings
 from ..relay.ledgers import decode_account, encode_account
 from ..relay.members import Membership
-from ..relay.models import Account, Member, Repetition
+from ..relay.models import Account, Member, RetryPolicy
 from ..relay.openings import Boot, Moment
 from ..relay.peers import PeerClient
 from ..relay.reservations import Reservation, Shortage
@@ -60,7 +60,7 @@
         self.clock = ScriptedClock()
         self.account = Account(name=ACCOUNT, keys=(), prepaid=PREPAID)
         self.configuration = make_configuration(
-            make_route(Repetition.SAFE), prepaid=PREPAID
+            make_route(RetryPolicy.SAFE), prepaid=PREPAID
         )
         self.holdings = None
 
--- a/knapweedrail/tests/test_relay_shutdown_limits.py
+++ b/knapweedrail/tests/test_relay_shutdown_limits.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from ..relay.clocks import SignalClock
-from ..relay.models import Repetition
+from ..relay.models import RetryPolicy
 from ..relay.shutdowns import (
     ADMISSION_WINDOW_SECONDS,
     MAX_SAMPLES,
@@ -120,9 +120,9 @@
     """A caller's link is slow, and its request is incomplete when answers are due. It
     got an empty 500; told that nothing has run, it retries at once at another host."""
     runner = ScriptedRunner(hang)
-    route = make_route(Repetition.ONCE)
+    route = make_route(RetryPolicy.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
-        relay.gateway.closing.begin(Shutdown(time.monotonic(), 0.3))
+        relay.gateway.drain.begin(Shutdown(time.monotonic(), 0.3))
         answer = await relay.call(body_delay=5.0)
     assert answer.status == 503 and b"not run" in answer.body
 
@@ -144,7 +144,7 @@
     just closed, the caller couldn't tell whether the request has run; told that the
     outcome is unknown, it can check."""
     runner = ScriptedRunner(hang)
-    route = make_route(Repetition.ONCE)
+    route = make_route(RetryPolicy.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
         async with anyio.create_task_group() as group:
             group.start_soon(stop_soon, relay.gateway)
@@ -156,7 +156,7 @@
 @pytest.mark.anyio
 async def test_stream_cut_by_shutdown_is_incomplete():
     runner = ScriptedRunner(begin_stream)
-    route = make_route(Repetition.ONCE)
+    route = make_route(RetryPolicy.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
         async with anyio.create_task_group() as group:
             group.start_soon(stop_soon, relay.gateway)
@@ -167,4 +167,4 @@
 
 async def stop_soon(gateway):
     await anyio.sleep(0.2)
-    gateway.closing.begin(Shutdown(time.monotonic(), 0.3))
+    gateway.drain.begin(Shutdown(time.monotonic(), 0.3))
--- a/knapweedrail/tests/test_relay_streams.py
+++ b/knapweedrail/tests/test_relay_streams.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ..relay.models import Repetition
+from ..relay.models import RetryPolicy
 from ..relay.streams import EventSplitter, StreamProgress
 from .relays_in_memory import (
     ScriptedRunner,
@@ -77,7 +77,7 @@
         await stream.send(make_chunk(make_event(2)) + make_chunk(b""))
         return True
 
-    route = make_route(Repetition.STREAM, resumable=True)
+    route = make_route(RetryPolicy.STREAM, resumable=True)
     runners = ScriptedRunner(pause), ScriptedRunner(pause)
     async with run_relay(make_configuration(route), *runners) as relay:
         answer = await relay.call()
@@ -102,7 +102,7 @@
         await stream.send(make_chunk(b""))
         return True
 
-    route = make_route(Repetition.STREAM, resumable=True, max_runners=5, timeout=6.0)
+    route = make_route(RetryPolicy.STREAM, resumable=True, max_runners=5, timeout=6.0)
     runners = ScriptedRunner(pause), ScriptedRunner(pause)
     async with run_relay(make_configuration(route), *runners) as relay:
         answer = await relay.call(knapweedrail_deadline_ms="6000")
@@ -137,7 +137,7 @@
             ended.append(anyio.current_time())
         return False
 
-    route = make_route(Repetition.STREAM, resumable=True)
+    route = make_route(RetryPolicy.STREAM, resumable=True)
     runners = ScriptedRunner(respond), ScriptedRunner(respond)
     async with run_relay(make_configuration(route), *runners) as relay:
         answer = await relay.call(knapweedrail_deadline_ms="6000")
--- a/knapweedrail/tests/test_relay_successors.py
+++ b/knapweedrail/tests/test_relay_successors.py
@@ -4,7 +4,7 @@
 import attrs
 import pytest
 
-from ..relay.models import Endpoint, Repetition, RunnerIncarnation
+from ..relay.models import Endpoint, RetryPolicy, RunnerIncarnation
 from ..relay.runners import RunnerTable
 from .relays_in_memory import (
     ScriptedRunner,
@@ -19,7 +19,7 @@
 
 pytestmark = pytest.mark.anyio
 
-SAFE = make_route(Repetition.SAFE)
+SAFE = make_route(RetryPolicy.SAFE)
 ENGINE = Endpoint(name="e", health_path="/h", max_connections=9, cache_tokens=1000)
 REPORT = b'{"stage":"both","models":[{"name":"m"}],"kvTotal":1000}'
 
@@ -185,7 +185,7 @@
     """Guards against a refusal on a route with a single attempt. The chosen runner has
     crashed and another incarnation answers at its address, so no runner has run the
     request, and the next runner has room."""
-    route = make_route(Repetition.ONCE, max_runners=1)
+    route = make_route(RetryPolicy.ONCE, max_runners=1)
     restarted = ScriptedRunner(RestartedRunner().respond)
     healthy = ScriptedRunner(answer_normally)
     async with run_relay(make_configuration(route), restarted, healthy) as relay:
@@ -207,7 +207,7 @@
         await stream.send(make_answer(head, b"", 503, **executed))
         return True
 
-    route = make_route(Repetition.ONCE, max_runners=1)
+    route = make_route(RetryPolicy.ONCE, max_runners=1)
     runners = [ScriptedRunner(reject), ScriptedRunner(reject)]
     async with run_relay(make_configuration(route), *runners) as relay:
         assert (await relay.call()).status == 503
--- a/knapweedrail/tests/test_relay_suspects.py
+++ b/knapweedrail/tests/test_relay_suspects.py
@@ -5,8 +5,8 @@
 import anyio
 import pytest
 
-from ..relay.daemons import Relay
-from ..relay.signals import Signal
+from ..relay.notifiers import Notifier
+from ..relay.process import Relay
 from ..relay.suspects import CRASH_LIMIT, Suspects, make_fingerprint
 
 
@@ -76,7 +76,11 @@
     """When a runner crashes, all its requests fail at once and each one is reported.
     The other relays must get them in one call, soon enough not to run them too."""
     relay = Relay.__new__(Relay)
-    relay._told, relay._told_more, relay._limits = [], Signal(), {}
+    relay._pending_suspects, relay._pending_added, relay._pending_limits = (
+        [],
+        Notifier(),
+        {},
+    )
     relay._membership = types.SimpleNamespace(list_others=lambda: ["other"])
     sent = []
 
@@ -85,12 +89,12 @@
 
     relay._peers = types.SimpleNamespace(send_suspects=send)
     async with anyio.create_task_group() as group:
-        group.start_soon(relay._tell_waiting)
+        group.start_soon(relay._send_pending)
         for crash in (["a", "b"], ["c", "d"]):
             await anyio.sleep(0.03)
-            relay._tell_suspects(crash[:1])
+            relay._queue_suspects(crash[:1])
             await anyio.sleep(0.01)
-            relay._tell_suspects(crash[1:])
+            relay._queue_suspects(crash[1:])
             await anyio.sleep(0.09)
             assert sent.pop() == crash and not sent
         group.cancel_scope.cancel()
--- a/knapweedrail/tools/service.py
+++ b/knapweedrail/tools/service.py
@@ -50,7 +50,7 @@
     logs: LogWriter,
 ) -> None:
     log_loop_errors()
-    relay = make_relay(settings, listener, lambda: logs.left_out)
+    relay = make_relay(settings, listener, lambda: logs.dropped)
     async with anyio.create_task_group() as group:
         with anyio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP) as signals:
             clock.watch(STOP_SIGNALS)
