--- a/knapweedrail/relay/accounts.py
+++ b/knapweedrail/relay/account_holdings.py
@@ -23,7 +23,7 @@
     settle_previous_incarnations,
 )
 from .models import Account
-from .openings import Moment, VestingSchedule
+from .vesting import BootTime, VestingSchedule
 
 FRESH_SECONDS = 1.5
 """Largest age of a view of the ledger by which a request may be refused without another
@@ -152,8 +152,8 @@
         is_primary: bool,
         warming_up: bool,
         now: float,
-        boot_time: Moment | None = None,
-        started: Moment | None = None,
+        boot_time: BootTime | None = None,
+        started: BootTime | None = None,
     ) -> Plan | None:
         """Returns the ledger as it should be, or ``None`` if no change is due.
 
@@ -192,7 +192,7 @@
             warming_up=warming_up and self.unused_at_first_read,
         )
         if is_primary:
-            change = plan_change(budget, self.allowance.position, demand, now)
+            change = plan_change(budget, self.allowance.balance, demand, now)
         else:
             change = plan_direct_draw(budget.free, self.allowance.free, demand, now)
         entered = known or not is_primary
@@ -216,7 +216,7 @@
         return Plan(ledger, change, settled, prepaid, budget.free)
 
     def _needs_new_schedule(
-        self, budget: BudgetView, terms: VestingTerms, boot_time: Moment | None
+        self, budget: BudgetView, terms: VestingTerms, boot_time: BootTime | None
     ) -> bool:
         """Returns whether the grant needs a new vesting schedule.
 
--- a/knapweedrail/relay/allowances.py
+++ b/knapweedrail/relay/allowances.py
@@ -18,7 +18,7 @@
 
 from .grants import Balance, Demand
 from .ledgers import AccountLedger, Grant
-from .openings import VestingSchedule
+from .vesting import VestingSchedule
 
 
 @attrs.define
@@ -87,14 +87,14 @@
         return self.tokens - self.withheld + borrowed - lent
 
     @property
-    def position(self) -> Balance:
+    def balance(self) -> Balance:
         """The current balance."""
         return Balance(granted=self.granted, spent=self.spent, reserved=self.reserved)
 
     @property
     def free(self) -> int:
         """Unused tokens, vested or not."""
-        return self.position.available
+        return self.balance.available
 
     @property
     def used(self) -> int:
--- a/knapweedrail/relay/boots.py
+++ b/knapweedrail/relay/boot_clock.py
@@ -5,7 +5,7 @@
 import pathlib
 import time
 
-from .openings import Boot, Moment
+from .vesting import Boot, BootTime
 
 _BOOT_ID_PATH = pathlib.Path("/proc/sys/kernel/random/boot_id")
 _BOOT_ID_DIGITS = 12
@@ -30,11 +30,11 @@
         self._identity = _read_boot_id()
         self.started = self.read()
 
-    def read(self) -> Moment:
+    def read(self) -> BootTime:
         """Returns the current reading."""
         uptime = self.read_milliseconds()
         started_at = time.time_ns() // _NANOSECONDS_PER_MILLISECOND - uptime
-        return Moment(Boot(self._identity, started_at), uptime)
+        return BootTime(Boot(self._identity, started_at), uptime)
 
     def read_milliseconds(self) -> int:
         """Returns the time since the boot, milliseconds."""
--- a/knapweedrail/relay/loans.py
+++ b/knapweedrail/relay/borrowing.py
@@ -5,7 +5,7 @@
 import time
 
 from ..events import Event, log_event
-from .accounts import AccountHolding
+from .account_holdings import AccountHolding
 from .allowances import Loan
 from .grants import plan_borrow, plan_return
 from .members import Membership
@@ -56,7 +56,7 @@
     async def return_excess(self, holding: AccountHolding) -> None:
         """Returns borrowed tokens that aren't needed to the account's primary relay."""
         allowance = holding.allowance
-        if holding.borrowing or self._membership.keeps(holding.name):
+        if holding.borrowing or self._membership.is_primary_for(holding.name):
             return
         if self._holder in holding.ledger.grants:
             # This relay drew on the ledger itself, and returns tokens there.
--- a/knapweedrail/relay/holdings.py
+++ b/knapweedrail/relay/holdings.py
@@ -13,13 +13,13 @@
 
 from ..events import Event, log_event
 from ..tasks import Task
-from .accounts import AccountHolding
+from .account_holdings import AccountHolding
 from .allowances import Allowance
-from .boots import BootClock
-from .draws import MAX_WRITE_ATTEMPTS, OUTAGE_RETRY_SECONDS, LedgerUpdater
+from .boot_clock import BootClock
+from .borrowing import TokenBorrower
 from .grants import plan_loan
+from .ledger_updates import MAX_WRITE_ATTEMPTS, OUTAGE_RETRY_SECONDS, LedgerUpdater
 from .ledgers import release_holder
-from .loans import TokenBorrower
 from .malformed import MalformedObjects
 from .members import Membership
 from .models import Account, Configuration
@@ -106,7 +106,7 @@
             return Reservation(None, 0)
         if self._released:
             return Shortage.OUT_OF_REACH
-        holding = self._get(account.name)
+        holding = self._get_holding(account.name)
         allowance = holding.allowance
         if self._updater.first_request_at is None:
             self._updater.first_request_at = time.monotonic()
@@ -127,7 +127,7 @@
     async def answer_trade(self, trade: Trade) -> TradeAnswer:
         self._peers.record_incoming_call(trade.holder)
         self._membership.record_caller(trade.holder)
-        holding = self._get(trade.account)
+        holding = self._get_holding(trade.account)
         allowance = holding.allowance
         if self._released:
             return TradeAnswer(self._holder, 0, Shortage.OUT_OF_REACH)
@@ -166,15 +166,17 @@
 
     def describe(self, account: Account) -> dict[str, Any]:
         """Returns the state of an account, and its age in seconds, for a log line."""
-        holding = self._get(account.name)
+        holding = self._get_holding(account.name)
         return {
             "available": holding.allowance.available,
             "reserved": holding.allowance.reserved,
-            "keeps": self._membership.keeps(account.name),
+            "keeps": self._membership.is_primary_for(account.name),
             "prepaid": account.prepaid,
             "free": (account.prepaid or 0) - holding.ledger.committed,
             "held_elsewhere": holding.ledger.count_held(excluding=self._holder),
-            "held_by_ended": holding.ledger.count_ended(self._membership.is_current),
+            "held_by_ended": holding.ledger.count_held_by_ended(
+                self._membership.is_current
+            ),
             "surely_used": holding.ledger.confirmed_used,
             "revision": holding.revision,
             "age": round(time.monotonic() - holding.seen_at, 2),
@@ -188,7 +190,7 @@
             for holding in self._by_account.values():
                 group.start_soon(self._release_account, holding)
 
-    def _get(self, account: str) -> AccountHolding:
+    def _get_holding(self, account: str) -> AccountHolding:
         if account not in self._by_account:
             allowance = Allowance(self._holder, self._clock.read_milliseconds)
             self._by_account[account] = AccountHolding(account, allowance)
@@ -197,8 +199,10 @@
     def _start_due_work(self, group: anyio.abc.TaskGroup) -> None:
         """Starts the ledger updates and loan messages that are due."""
         for account in self._updater.list_prepaid_accounts():
-            if account.name in self._by_account or self._membership.keeps(account.name):
-                group.start_soon(self._maintain_loans, self._get(account.name))
+            if account.name in self._by_account or self._membership.is_primary_for(
+                account.name
+            ):
+                group.start_soon(self._maintain_loans, self._get_holding(account.name))
         if not self._updater.reachable:
             return
         for holding in self._by_account.values():
@@ -212,7 +216,7 @@
     async def _maintain_loans(self, holding: AccountHolding) -> None:
         await self._borrower.return_excess(holding)
         await self._borrower.resolve_unconfirmed(holding)
-        if self._membership.keeps(holding.name):
+        if self._membership.is_primary_for(holding.name):
             await self._borrower.prompt_settlements(holding)
 
     async def _obtain_tokens(
@@ -221,7 +225,7 @@
         """Reserves tokens as they arrive from the ledger or from other relays."""
         allowance = holding.allowance
         shortage: Shortage | None = None
-        if self._membership.keeps(account.name):
+        if self._membership.is_primary_for(account.name):
             shortage = await self._updater.draw(holding, account, tokens)
             if allowance.reserve(tokens):
                 return None
--- a/knapweedrail/relay/draws.py
+++ b/knapweedrail/relay/ledger_updates.py
@@ -11,10 +11,10 @@
 
 from ..events import Event, log_event
 from ..outcomes import Unavailable, Unknown
-from .accounts import FRESH_SECONDS, AccountHolding, Plan
-from .boots import BootClock
+from .account_holdings import FRESH_SECONDS, AccountHolding, Plan
+from .boot_clock import BootClock
 from .grants import WARM_UP_SECONDS
-from .ledgers import AccountLedger, decode_account, encode_account
+from .ledgers import AccountLedger, decode_ledger, encode_ledger
 from .malformed import MalformedObjects
 from .members import Membership
 from .models import Account, Configuration
@@ -168,7 +168,7 @@
         """
         began_at = time.monotonic()
         holding.allowance.prepare_write(planned)
-        spec = encode_account(planned)
+        spec = encode_ledger(planned)
         if holding.revision is None:
             outcome = await self._store.create(LEDGER_KIND, holding.name, spec)
         else:
@@ -195,8 +195,8 @@
             return None
         return holding.plan(
             account,
-            self._membership.count_keepers(),
-            self._membership.keeps(holding.name),
+            self._membership.count_primaries(),
+            self._membership.is_primary_for(holding.name),
             self._is_warming_up(),
             time.monotonic(),
             self._clock.read(),
@@ -311,7 +311,7 @@
 
     def _apply_stored(self, holding: AccountHolding, stored: StoredObject) -> None:
         try:
-            ledger = decode_account(stored.spec)
+            ledger = decode_ledger(stored.spec)
         except ValueError as error:
             now = time.monotonic()
             self._malformed.record(
--- a/knapweedrail/relay/ledgers.py
+++ b/knapweedrail/relay/ledgers.py
@@ -23,7 +23,7 @@
 
 import attrs
 
-from .openings import Moment, VestingSchedule, decode_schedule, encode_schedule
+from .vesting import BootTime, VestingSchedule, decode_schedule, encode_schedule
 
 MAX_TOKENS = 2**53
 """Largest number of tokens. JSON parsers represent integers exactly up to it."""
@@ -123,7 +123,7 @@
             if holder != excluding
         )
 
-    def count_ended(self, is_present: Callable[[str], bool]) -> int:
+    def count_held_by_ended(self, is_present: Callable[[str], bool]) -> int:
         """Returns the tokens that ended holders have not reported as spent.
 
         Args:
@@ -162,7 +162,7 @@
 
 
 def settle_previous_incarnations(
-    ledger: AccountLedger, holder: str, started: Moment | None = None
+    ledger: AccountLedger, holder: str, started: BootTime | None = None
 ) -> list[Settlement]:
     """Settles the grants of previous incarnations on a holder's host.
 
@@ -183,7 +183,7 @@
     return settled
 
 
-def _settle_grant(holder: str, grant: Grant, started: Moment | None) -> Settlement:
+def _settle_grant(holder: str, grant: Grant, started: BootTime | None) -> Settlement:
     vesting = grant.vesting
     if vesting is None:
         evidence = Evidence.NO_VESTING
@@ -216,7 +216,7 @@
         ledger.used += left
 
 
-def encode_account(ledger: AccountLedger) -> dict[str, Any]:
+def encode_ledger(ledger: AccountLedger) -> dict[str, Any]:
     """Returns an account's ledger in its stored form."""
     grants = {
         holder: [grant.tokens, grant.spent] for holder, grant in ledger.grants.items()
@@ -230,7 +230,7 @@
     return {"used": ledger.used, "grants": grants, "openings": schedules}
 
 
-def decode_account(spec: Any) -> AccountLedger:
+def decode_ledger(spec: Any) -> AccountLedger:
     """Decodes the stored ledger of an account.
 
     Raises:
--- a/knapweedrail/relay/members.py
+++ b/knapweedrail/relay/members.py
@@ -154,11 +154,11 @@
             account, self.list_all(), self.member.data_centre, self.member.holder
         )
 
-    def count_keepers(self) -> int:
+    def count_primaries(self) -> int:
         """Return the number of primaries of an account: one for each data centre."""
         return len({member.data_centre for member in self._members.values()})
 
-    def keeps(self, account: str) -> bool:
+    def is_primary_for(self, account: str) -> bool:
         """Return whether this relay draws on the ledger for its data centre.
 
         The result is cached until the next list. It is needed once a second for each
--- a/knapweedrail/relay/supplies.py
+++ b/knapweedrail/relay/peer_updates.py
@@ -8,14 +8,14 @@
 from .replicas import KindUpdate, Replica
 
 
-class Supply(ABC):
+class PeerUpdates(ABC):
     """Source of updates that may replace a watcher's own calls to the store."""
 
     changed: Notifier
     """Notified whenever the result of `compute_poll_delay` may have changed."""
 
     @abstractmethod
-    def measure_rest(self, kind: str, limit: float) -> float:
+    def compute_poll_delay(self, kind: str, limit: float) -> float:
         """Returns for how long a watcher needn't call the store, seconds.
 
         Args:
@@ -25,31 +25,31 @@
         """
 
     @abstractmethod
-    def note_change(self) -> None:
+    def notify_change(self) -> None:
         """Notifies that new changes of the store are known."""
 
     @abstractmethod
-    def note_back(self) -> None:
+    def notify_store_available(self) -> None:
         """Notifies that the store is available again after an outage."""
 
 
-class NoSupply(Supply):
+class NoPeerUpdates(PeerUpdates):
     """Replaces no calls; for a relay without peers."""
 
     def __init__(self) -> None:
         self.changed = Notifier()
 
-    def measure_rest(self, kind: str, limit: float) -> float:
+    def compute_poll_delay(self, kind: str, limit: float) -> float:
         return 0.0
 
-    def note_change(self) -> None:
+    def notify_change(self) -> None:
         pass
 
-    def note_back(self) -> None:
+    def notify_store_available(self) -> None:
         pass
 
 
-class NewsTaker(ABC):
+class UpdateReceiver(ABC):
     """Watches one kind of the store's objects and applies updates from other relays.
 
     Attributes:
@@ -61,7 +61,7 @@
 
     replica: Replica
     confirmed_at: float
-    supply: Supply
+    peer_updates: PeerUpdates
 
     @property
     @abstractmethod
@@ -69,7 +69,7 @@
         """Whether the store has to be read before updates can be applied."""
 
     @abstractmethod
-    def take_news(self, news: KindUpdate, confirmed_at: float) -> None:
+    def apply_update(self, news: KindUpdate, confirmed_at: float) -> None:
         """Applies an update from another relay.
 
         Args:
--- a/knapweedrail/relay/process.py
+++ b/knapweedrail/relay/process.py
@@ -32,7 +32,7 @@
 from .retries import RetryBudget
 from .shutdowns import Shutdown
 from .sources import FeedTiming
-from .successors import Successors
+from .successors import SuccessorDetector
 from .suspects import Suspects
 from .update_feed import UpdateFeed
 from .watchers import ConfigurationWatcher, RunnerWatcher
@@ -149,7 +149,7 @@
         self._pending_added = Notifier()
         self._pending_limits: dict[str, LimitNews] = {}
         runners.table.find_standing = self._membership.find_standing
-        self._successors = Successors(
+        self._successors = SuccessorDetector(
             self._pool,
             codec,
             runners.table,
@@ -171,7 +171,7 @@
             send_suspects=self._queue_suspects,
             overload=self._overload,
             count_relays=lambda: self._membership.count,
-            report_mismatch=self._successors.note,
+            report_mismatch=self._successors.report_mismatch,
             send_limit=self._queue_limit,
         )
         self._gateway = Gateway(services, configuration, self._holdings)
--- a/knapweedrail/relay/clocks.py
+++ b/knapweedrail/relay/stop_signals.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 
-class SignalClock:
+class StopSignalRecorder:
     """Records when the process received its first stop signal.
 
     The event loop delivers a signal only when it gets to it, which takes some tenths of
@@ -26,19 +26,19 @@
         """Installs handlers for these signals. The event loop's own handlers are still
         woken."""
         for number in numbers:
-            signal.signal(number, self._note)
+            signal.signal(number, self._record)
             signal.siginterrupt(number, False)
 
     @property
-    def asked(self) -> bool:
+    def stop_requested(self) -> bool:
         """Whether a signal was received."""
         return self._first_at is not None
 
-    def read(self) -> float:
+    def read_stop_time(self) -> float:
         """Returns when the first signal was received, or the current time if none was;
         monotonic clock, seconds."""
         return time.monotonic() if self._first_at is None else self._first_at
 
-    def _note(self, number: int, frame: object) -> None:
+    def _record(self, number: int, frame: object) -> None:
         if self._first_at is None:
             self._first_at = time.monotonic()
--- a/knapweedrail/relay/successors.py
+++ b/knapweedrail/relay/successors.py
@@ -51,7 +51,7 @@
     name: str
 
 
-class Successors(Task):
+class SuccessorDetector(Task):
     """Queries runners that answer in place of others, and adds those that may get their
     requests.
 
@@ -76,7 +76,7 @@
         self._read_configuration = read_configuration
         self._requested_at: dict[str, float] = {}
 
-    def note(self, runner: Runner, name: str) -> None:
+    def report_mismatch(self, runner: Runner, name: str) -> None:
         """Reports that another runner answered where one was expected.
 
         Args:
--- a/knapweedrail/relay/update_feed.py
+++ b/knapweedrail/relay/update_feed.py
@@ -28,10 +28,10 @@
 from .members import Membership
 from .models import Member
 from .notifiers import Notifier
+from .peer_updates import PeerUpdates, UpdateReceiver
 from .peers import PeerClient
 from .replicas import KindUpdate, UpdateRejectedError, decode_items
 from .sources import SOURCE_COUNT, FeedTiming, Source
-from .supplies import NewsTaker, Supply
 
 SUBSCRIBER_TIMEOUT_FACTOR = 3.0
 """Multiple of the source timeout after which a subscriber without heartbeats is
@@ -71,7 +71,7 @@
             self.sent_revisions[update.kind] = max(known, update.revision)
 
 
-class UpdateFeed(Task, Supply):
+class UpdateFeed(Task, PeerUpdates):
     """Receives updates from two sources and sends updates to subscribers.
 
     Args:
@@ -88,7 +88,7 @@
         membership: Membership,
         peers: PeerClient,
         dialer: Dialer,
-        receivers: Sequence[NewsTaker],
+        receivers: Sequence[UpdateReceiver],
         timing: FeedTiming,
         first_start: bool = False,
     ) -> None:
@@ -105,7 +105,7 @@
         self._started_at = time.monotonic()
         self._available_at = float("-inf")
         for receiver in receivers:
-            receiver.supply = self
+            receiver.peer_updates = self
 
     @property
     def has_subscribers(self) -> bool:
@@ -123,7 +123,7 @@
             for slot in range(SOURCE_COUNT):
                 group.start_soon(self._maintain_source, slot)
 
-    def measure_rest(self, kind: str, limit: float) -> float:
+    def compute_poll_delay(self, kind: str, limit: float) -> float:
         now = time.monotonic()
         if not self._membership.first_listed.is_set():
             return max(0.0, self._started_at + FIRST_LIST_WAIT_SECONDS - now)
@@ -146,11 +146,11 @@
             delays.append(self._available_at + self._timing.heartbeat_interval - now)
         return max(delays, default=0.0)
 
-    def note_change(self) -> None:
+    def notify_change(self) -> None:
         for subscriber in self._subscribers:
             subscriber.update_available.notify_all()
 
-    def note_back(self) -> None:
+    def notify_store_available(self) -> None:
         self._available_at = time.monotonic()
 
     async def serve(self, link: SubscriberLink) -> None:
@@ -214,7 +214,9 @@
         ]
         return FeedReply(subscriber.clock, tuple(kinds))
 
-    def _make_update(self, receiver: NewsTaker, sent_revision: int) -> EncodedUpdate:
+    def _make_update(
+        self, receiver: UpdateReceiver, sent_revision: int
+    ) -> EncodedUpdate:
         replica = receiver.replica
         age = time.monotonic() - receiver.confirmed_at
         return EncodedUpdate(
@@ -355,7 +357,7 @@
         if update.age is not None:
             confirmed_at = clock - update.age
         try:
-            receiver.take_news(kind_update, confirmed_at)
+            receiver.apply_update(kind_update, confirmed_at)
         except UpdateRejectedError:
             if not receiver.fetching:
                 raise
--- a/knapweedrail/relay/openings.py
+++ b/knapweedrail/relay/vesting.py
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class Moment:
+class BootTime:
     """A reading of a host's clock.
 
     Attributes:
@@ -63,7 +63,7 @@
     boot: Boot
     uptime: int
 
-    def measure_since(self, earlier: Moment) -> int | None:
+    def measure_since(self, earlier: BootTime) -> int | None:
         """Returns the milliseconds since an earlier reading of the same boot; ``None``
         if it isn't certain that it is one."""
         if not self.boot.is_same(earlier.boot) or self.uptime < earlier.uptime:
@@ -85,7 +85,7 @@
 
     tokens: int
     rate: int
-    since: Moment
+    since: BootTime
 
     def count_vested_at(self, uptime: int) -> int:
         """Returns the tokens that have vested by a time.
@@ -126,4 +126,4 @@
     tokens, rate, uptime = numbers
     if rate < 0 or uptime < 0 or not isinstance(identity, str):
         return None
-    return VestingSchedule(tokens, rate, Moment(Boot(identity, started_at), uptime))
+    return VestingSchedule(tokens, rate, BootTime(Boot(identity, started_at), uptime))
--- a/knapweedrail/relay/watchers.py
+++ b/knapweedrail/relay/watchers.py
@@ -15,12 +15,12 @@
 from .incarnations import EntryResult, StartTimeTracker
 from .malformed import MalformedObjects
 from .models import UNKNOWN_START, Configuration, Runner
+from .peer_updates import NoPeerUpdates, UpdateReceiver
 from .replicas import KindUpdate, Replica, UpdateRejectedError
 from .routes import RouteTable
 from .runners import RunnerTable
 from .store_probe import StoreProbe
 from .stores import Change, Changes, HistoryGone, Listing, Store, StoredObject
-from .supplies import NewsTaker, NoSupply
 
 CONFIRMATION_MARGIN_SECONDS = 1.0
 """Seconds after the end of a watch within which the store must have confirmed what is
@@ -28,7 +28,7 @@
 second."""
 
 
-class KindWatcher(Task, NewsTaker):
+class KindWatcher(Task, UpdateReceiver):
     """Tracks all objects of one kind with a list and consecutive long-poll watches.
 
     A dead connection looks the same as a kind without changes. Therefore each watch has
@@ -61,7 +61,7 @@
             limit_seconds = watch_seconds + CONFIRMATION_MARGIN_SECONDS
         self._limit_seconds = limit_seconds
         self.replica = Replica(kind)
-        self.supply = NoSupply()
+        self.peer_updates = NoPeerUpdates()
         self._list_next = True
         self._needed_revision = 0
         self._malformed = malformed or MalformedObjects()
@@ -90,7 +90,7 @@
             if outcome is not None:
                 await self._handle_outcome(outcome, time.monotonic() - began_at)
 
-    def take_news(self, update: KindUpdate, confirmed_at: float) -> None:
+    def apply_update(self, update: KindUpdate, confirmed_at: float) -> None:
         try:
             changes = self.replica.merge_update(update)
         except UpdateRejectedError as error:
@@ -98,7 +98,7 @@
                 log_event(Event.NEWS_FETCHED, kind=self._kind, reason=str(error))
                 self._needed_revision = max(self._needed_revision, update.revision)
                 self._list_next = True
-                self.supply.changed.notify_all()
+                self.peer_updates.changed.notify_all()
             raise
         self._apply_changes(changes)
         if confirmed_at > self.confirmed_at and not self.fetching:
@@ -116,11 +116,13 @@
         """Wait while updates of other relays suffice; return whether they did."""
         if self.fetching:
             return False
-        wait_seconds = self.supply.measure_rest(self._kind, self._limit_seconds)
+        wait_seconds = self.peer_updates.compute_poll_delay(
+            self._kind, self._limit_seconds
+        )
         if wait_seconds <= 0.0:
             return False
         with anyio.move_on_after(wait_seconds):
-            await self.supply.changed.wait()
+            await self.peer_updates.changed.wait()
         return True
 
     async def _call_store(self) -> Listing | Changes | HistoryGone | Unavailable:
@@ -133,7 +135,7 @@
     def _apply_list(self, listing: Listing) -> None:
         if self.replica.apply_list(listing.objects, listing.revision):
             self.replace_all(listing.objects)
-            self.supply.note_change()
+            self.peer_updates.notify_change()
 
     def _apply_changes(self, changes: list[Change]) -> None:
         for change in self.sort_changes(tuple(changes)):
@@ -142,7 +144,7 @@
             else:
                 self.set(change.stored)
         if changes:
-            self.supply.note_change()
+            self.peer_updates.notify_change()
 
     async def _handle_outcome(
         self,
@@ -154,7 +156,7 @@
                 self._record_availability(False, outcome.detail, waited)
                 self._list_next = self._list_next or self.relists_after_outage
                 await self._probe.wait_until_available(waited)
-                self.supply.note_back()
+                self.peer_updates.notify_store_available()
                 return
             case HistoryGone():
                 log_event(Event.HISTORY_GONE, kind=self._kind)
--- a/knapweedrail/standins/tokenfleet.py
+++ b/knapweedrail/standins/tokenfleet.py
@@ -15,12 +15,12 @@
 import attrs
 
 from ..relay.holdings import Holdings
-from ..relay.ledgers import AccountLedger, decode_account
+from ..relay.ledgers import AccountLedger, decode_ledger
 from ..relay.members import Membership
 from ..relay.models import Account, CallerLimits, Configuration, Member
-from ..relay.openings import Boot, Moment
 from ..relay.peers import CALL_SECONDS, PeerClient, Trade, TradeAnswer
 from ..relay.reservations import Reservation
+from ..relay.vesting import Boot, BootTime
 from .playedstore import PlayedStore, StoreOfHost
 
 LEDGER_KIND = "token-ledgers"
@@ -54,10 +54,10 @@
         self._began_at = time.monotonic()
         self.started = self.read()
 
-    def read(self) -> Moment:
+    def read(self) -> BootTime:
         """Return the present moment."""
         began = UNIX_MILLISECONDS + round(self._began_at * 1000)
-        return Moment(Boot(self._identity, began), self.read_milliseconds())
+        return BootTime(Boot(self._identity, began), self.read_milliseconds())
 
     def read_milliseconds(self) -> int:
         """Return the time since the boot, milliseconds."""
@@ -253,16 +253,16 @@
     def read_ledger(self, account: str) -> AccountLedger:
         """Return an account's ledger as it is stored."""
         stored = self.store.find(LEDGER_KIND, account)
-        return decode_account(stored.spec) if stored else AccountLedger()
+        return decode_ledger(stored.spec) if stored else AccountLedger()
 
-    def keeps(self, host: str, account: str) -> bool:
+    def is_primary_for(self, host: str, account: str) -> bool:
         """Return whether a host draws on the ledger for its data centre."""
-        return self.relays[host].membership.keeps(account)
+        return self.relays[host].membership.is_primary_for(account)
 
-    def count_ended(self, account: str) -> int:
+    def count_held_by_ended(self, account: str) -> int:
         """Return the tokens of an account at holders that have ended."""
         present = {relay.member.holder for relay in self.relays.values()}
-        return self.read_ledger(account).count_ended(present.__contains__)
+        return self.read_ledger(account).count_held_by_ended(present.__contains__)
 
     async def send_for(
         self, seconds: float, kinds: list[Kind], weights: dict[str, float]
--- a/knapweedrail/tests/relays_in_memory.py
+++ b/knapweedrail/tests/relays_in_memory.py
@@ -44,7 +44,7 @@
     StoredObject,
     Written,
 )
-from ..relay.successors import Successors
+from ..relay.successors import SuccessorDetector
 from ..relay.suspects import Suspects
 from ..relay.watchers import ConfigurationWatcher
 
@@ -281,7 +281,7 @@
     table: RunnerTable
     pool: ConnectionPool
     configuration: ConfigurationWatcher
-    successors: Successors
+    successors: SuccessorDetector
 
     async def call(
         self,
@@ -371,7 +371,7 @@
     holdings = Holdings(store, PeerClient(), membership, lambda: configuration)
     pool = ConnectionPool()
     codec = PlatformCodec()
-    successors = Successors(pool, codec, table, lambda: configuration)
+    successors = SuccessorDetector(pool, codec, table, lambda: configuration)
     services = Services(
         codec=codec,
         pool=pool,
@@ -384,7 +384,7 @@
         send_suspects=lambda lines: None,
         overload=OverloadMonitor(),
         count_relays=lambda: 1,
-        report_mismatch=successors.note,
+        report_mismatch=successors.report_mismatch,
     )
     gateway = Gateway(services, follower, holdings)
     async with anyio.create_task_group() as group:
--- a/knapweedrail/tests/test_relay_draws.py
+++ b/knapweedrail/tests/test_relay_draws.py
@@ -3,11 +3,11 @@
 import anyio
 import pytest
 
-from ..relay.accounts import CONFIRM_SECONDS, FRESH_SECONDS, AccountHolding
+from ..relay.account_holdings import CONFIRM_SECONDS, FRESH_SECONDS, AccountHolding
 from ..relay.allowances import Allowance
-from ..relay.boots import BootClock
-from ..relay.draws import LEDGER_KIND, LedgerUpdater
-from ..relay.ledgers import AccountLedger, Grant, decode_account, encode_account
+from ..relay.boot_clock import BootClock
+from ..relay.ledger_updates import LEDGER_KIND, LedgerUpdater
+from ..relay.ledgers import AccountLedger, Grant, decode_ledger, encode_ledger
 from ..relay.members import Membership
 from ..relay.models import Member, RetryPolicy
 from ..relay.notifiers import Notifier
@@ -43,9 +43,9 @@
 
     def write_as_other(self, tokens):
         """Changes the ledger as another relay would."""
-        ledger = decode_account(self.stored.spec)
+        ledger = decode_ledger(self.stored.spec)
         ledger.grants[OTHER] = Grant(tokens, 0)
-        self.store.put(LEDGER_KIND, ACCOUNT, encode_account(ledger))
+        self.store.put(LEDGER_KIND, ACCOUNT, encode_ledger(ledger))
 
     async def draw(self, tokens):
         demand = self.holding.allowance.demand
@@ -130,10 +130,10 @@
 
     async def scenario(harness):
         full = AccountLedger(0, {OTHER: Grant(PREPAID, 0)})
-        harness.store.put(LEDGER_KIND, ACCOUNT, encode_account(full))
+        harness.store.put(LEDGER_KIND, ACCOUNT, encode_ledger(full))
         harness.store.stale[LEDGER_KIND, ACCOUNT] = harness.stored
         free = AccountLedger(0, {})
-        harness.store.put(LEDGER_KIND, ACCOUNT, encode_account(free))
+        harness.store.put(LEDGER_KIND, ACCOUNT, encode_ledger(free))
         assert await harness.draw(1000) is None
 
     await run_scenario(scenario)
@@ -158,7 +158,7 @@
 
     async def scenario(harness):
         full = AccountLedger(0, {OTHER: Grant(PREPAID, 0)})
-        harness.store.put(LEDGER_KIND, ACCOUNT, encode_account(full))
+        harness.store.put(LEDGER_KIND, ACCOUNT, encode_ledger(full))
         for _ in range(20):
             harness.holding.seen_at -= FRESH_SECONDS
             harness.holding.peeked_at -= FRESH_SECONDS
@@ -174,10 +174,10 @@
 
     async def scenario(harness):
         full = AccountLedger(0, {OTHER: Grant(PREPAID, 0)})
-        harness.store.put(LEDGER_KIND, ACCOUNT, encode_account(full))
+        harness.store.put(LEDGER_KIND, ACCOUNT, encode_ledger(full))
         assert await harness.draw(1000) is Shortage.HELD_ELSEWHERE
         harness.store.stale[LEDGER_KIND, ACCOUNT] = harness.stored
-        harness.store.put(LEDGER_KIND, ACCOUNT, encode_account(AccountLedger(0, {})))
+        harness.store.put(LEDGER_KIND, ACCOUNT, encode_ledger(AccountLedger(0, {})))
         harness.expire_view()
         harness.holding.confirmed_at -= CONFIRM_SECONDS
         assert await harness.draw(1000) is None
--- a/knapweedrail/tests/test_relay_exchanges.py
+++ b/knapweedrail/tests/test_relay_exchanges.py
@@ -305,9 +305,9 @@
     configuration = make_configuration(STREAM, prepaid=1000)
     async with run_relay(configuration, ScriptedRunner(stream_three_events)) as relay:
         await relay.call(knapweedrail_token_usage="100,50")
-        position = relay.holdings._get("farm").allowance.position
-    assert position.spent == 103
-    assert position.reserved == 0
+        balance = relay.holdings._get_holding("farm").allowance.balance
+    assert balance.spent == 103
+    assert balance.reserved == 0
 
 
 async def test_request_above_the_budget_is_refused_before_it_runs():
@@ -348,9 +348,9 @@
     configuration = make_configuration(STREAM, prepaid=1000)
     async with run_relay(configuration, ScriptedRunner(run_long)) as relay:
         await relay.call(knapweedrail_token_usage="100,50", disconnects_after=0.1)
-        position = relay.holdings._get("farm").allowance.position
-    assert position.spent == 100
-    assert position.reserved == 0
+        balance = relay.holdings._get_holding("farm").allowance.balance
+    assert balance.spent == 100
+    assert balance.reserved == 0
 
 
 async def test_short_route_timeout_does_not_eject_runners():
--- a/knapweedrail/tests/test_relay_foreign_state.py
+++ b/knapweedrail/tests/test_relay_foreign_state.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ..relay.draws import LEDGER_KIND, MAX_WRITE_ATTEMPTS
-from ..relay.ledgers import AccountLedger, Grant, decode_account, encode_account
+from ..relay.ledger_updates import LEDGER_KIND, MAX_WRITE_ATTEMPTS
+from ..relay.ledgers import AccountLedger, Grant, decode_ledger, encode_ledger
 from ..relay.members import (
     MEMBER_KIND,
     Member,
@@ -67,19 +67,19 @@
     """Guards against ledgers of other writers that are converted or guessed at. A
     negative or missing number would make room for grants beyond the prepaid tokens."""
     with pytest.raises(ValueError) as caught:
-        decode_account(spec)
+        decode_ledger(spec)
     assert len(str(caught.value)) < 300
 
 
 @given(values)
 def test_arbitrary_ledger_never_grants_less_than_nothing(spec):
     try:
-        ledger = decode_account(spec)
+        ledger = decode_ledger(spec)
     except ValueError:
         return
     assert ledger.committed >= 0
     assert all(grant.spent >= 0 for grant in ledger.grants.values())
-    assert encode_account(ledger) == {key: spec[key] for key in ("used", "grants")}
+    assert encode_ledger(ledger) == {key: spec[key] for key in ("used", "grants")}
 
 
 @given(
@@ -91,7 +91,7 @@
 )
 def test_ledger_round_trip(used, grants):
     ledger = AccountLedger(used, {name: Grant(*pair) for name, pair in grants.items()})
-    assert decode_account(encode_account(ledger)) == ledger
+    assert decode_ledger(encode_ledger(ledger)) == ledger
 
 
 @settings(max_examples=60)
@@ -130,7 +130,7 @@
                 valid = valid or copy.deepcopy(harness.stored.spec)
                 harness.store.put(LEDGER_KIND, ACCOUNT, step)
             allowance = harness.holding.allowance
-            stored = decode_account(valid or harness.stored.spec)
+            stored = decode_ledger(valid or harness.stored.spec)
             assert allowance.tokens <= stored.grants["host/1"].tokens
             assert stored.committed <= PREPAID
             assert allowance.spent <= allowance.tokens
--- a/knapweedrail/tests/test_relay_grants.py
+++ b/knapweedrail/tests/test_relay_grants.py
@@ -1,6 +1,6 @@
 """How many tokens relays hold, under demanding loads."""
 
-from ..relay.accounts import estimate_others_rate
+from ..relay.account_holdings import estimate_others_rate
 from ..relay.grants import (
     AMPLE_SECONDS,
     MAX_HELD_SHARE,
@@ -17,8 +17,8 @@
     plan_vesting,
 )
 from ..relay.ledgers import AccountLedger, Grant
-from ..relay.openings import Boot, Moment, VestingSchedule
 from ..relay.reservations import Shortage, find_shortage
+from ..relay.vesting import Boot, BootTime, VestingSchedule
 
 MILLION = 1_000_000
 
@@ -232,7 +232,7 @@
 
 def test_schedules_without_demand_are_left_out_of_the_rate_of_others():
     """Guards against idle holders whose grants make a budget seem to run out soon."""
-    boot_time = Moment(Boot("b", 0), 0)
+    boot_time = BootTime(Boot("b", 0), 0)
     quiet = Grant(24_000, 0, VestingSchedule(0, 2_000, boot_time))
     busy = Grant(24_000, 4_000, VestingSchedule(0, 8_000, boot_time))
     ledger = AccountLedger(0, {"a/1": busy, "b/1": quiet, "c/1": Grant(500, 0)})
--- a/knapweedrail/tests/test_relay_ledger.py
+++ b/knapweedrail/tests/test_relay_ledger.py
@@ -10,13 +10,13 @@
 from ..relay.ledgers import (
     AccountLedger,
     Grant,
-    decode_account,
-    encode_account,
+    decode_ledger,
+    encode_ledger,
     name_holder,
     release_holder,
     settle_previous_incarnations,
 )
-from ..relay.openings import Boot, Moment, VestingSchedule
+from ..relay.vesting import Boot, BootTime, VestingSchedule
 
 PREPAID = 100
 HOSTS = ("a", "b", "c")
@@ -41,7 +41,9 @@
         self.time_of_day = 1_000_000
 
     def read(self):
-        return Moment(Boot(self.identity, self.time_of_day - self.uptime), self.uptime)
+        return BootTime(
+            Boot(self.identity, self.time_of_day - self.uptime), self.uptime
+        )
 
     @property
     def identity(self):
@@ -70,7 +72,7 @@
         self.revision = 0
 
     def apply_ledger(self, store):
-        self.ledger = decode_account(store.spec)
+        self.ledger = decode_ledger(store.spec)
         self.revision = store.revision
         self.allowance.apply_ledger(self.ledger)
 
@@ -79,7 +81,7 @@
     """One object with a revision; writes may be applied late."""
 
     def __init__(self):
-        self.spec = encode_account(AccountLedger())
+        self.spec = encode_ledger(AccountLedger())
         self.revision = 0
         self.delayed = []
 
@@ -132,7 +134,7 @@
         """A write is applied and answered, applied without an answer, delayed, or
         lost."""
         relay = self.relays[host]
-        spec = encode_account(self.plan(relay, change, burst, rate))
+        spec = encode_ledger(self.plan(relay, change, burst, rate))
         if outcome == "l":
             self.store.delayed.append((spec, relay.revision))
         elif outcome == "a":
@@ -147,7 +149,7 @@
         answer."""
         relay = self.relays[host]
         relay.apply_ledger(self.store)
-        planned = encode_account(self.plan(relay, change, burst, rate))
+        planned = encode_ledger(self.plan(relay, change, burst, rate))
         assert self.store.write(planned, relay.revision)
         relay.apply_ledger(self.store)
 
@@ -251,7 +253,7 @@
             release_holder(planned, relay.holder, max(0, returned))
             relay.allowance.prepare_write(planned)
             if applied:
-                self.store.write(encode_account(planned), relay.revision)
+                self.store.write(encode_ledger(planned), relay.revision)
         self.relays[host] = self.start_relay(host)
 
     @invariant()
@@ -268,14 +270,14 @@
 
     @invariant()
     def ledger_covers_spending(self):
-        ledger = decode_account(self.store.spec)
+        ledger = decode_ledger(self.store.spec)
         assert ledger.committed <= PREPAID
 
     @invariant()
     def reported_spending_is_real(self):
         """Callers are told "spent" by these numbers, so no spending may be reported
         twice."""
-        ledger = decode_account(self.store.spec)
+        ledger = decode_ledger(self.store.spec)
         assert sum(grant.spent for grant in ledger.grants.values()) <= self.spent
 
 
@@ -346,6 +348,6 @@
     """Guards against log lines of refusals that don't show whether tokens wait for a
     settlement."""
     ledger = AccountLedger(10, {"a/1": Grant(80, 30), "a/2": Grant(20, 5)})
-    assert ledger.count_ended(lambda holder: holder != "a/1") == 50
+    assert ledger.count_held_by_ended(lambda holder: holder != "a/1") == 50
     assert ledger.count_held(excluding="a/2") == 50
-    assert ledger.count_ended(lambda holder: True) == 0
+    assert ledger.count_held_by_ended(lambda holder: True) == 0
--- a/knapweedrail/tests/test_relay_ledger_faults.py
+++ b/knapweedrail/tests/test_relay_ledger_faults.py
@@ -6,7 +6,7 @@
 
 from ..relay import ledgers
 from ..relay.allowances import Allowance
-from ..relay.openings import Boot
+from ..relay.vesting import Boot
 from .test_relay_ledger import PrepaidTokens, PrepaidTokensWithoutBootIds
 
 _settle_grant = ledgers._settle_grant
--- a/knapweedrail/tests/test_relay_lending.py
+++ b/knapweedrail/tests/test_relay_lending.py
@@ -10,9 +10,9 @@
 
 from ..relay import holdings as holdings_module
 from ..relay import peers as peers_module
-from ..relay.draws import LEDGER_KIND
 from ..relay.holdings import Holdings, compute_refill_pause
-from ..relay.ledgers import decode_account, name_holder
+from ..relay.ledger_updates import LEDGER_KIND
+from ..relay.ledgers import decode_ledger, name_holder
 from ..relay.members import Membership, compute_list_interval, order_lenders
 from ..relay.models import Account, Member, RetryPolicy
 from ..relay.peers import PeerClient, Trade, make_server
@@ -94,7 +94,7 @@
         """Returns the primary relay of the account in a data centre."""
         for host, membership in self.memberships.items():
             here = membership.member.data_centre == data_centre
-            if here and membership.keeps(ACCOUNT):
+            if here and membership.is_primary_for(ACCOUNT):
                 return host
         raise LookupError(data_centre)
 
@@ -107,7 +107,7 @@
         ]
 
     def read_ledger(self):
-        return decode_account(self.store.objects[LEDGER_KIND, ACCOUNT].spec)
+        return decode_ledger(self.store.objects[LEDGER_KIND, ACCOUNT].spec)
 
 
 @contextlib.asynccontextmanager
@@ -213,7 +213,7 @@
                 wanted=800,
             )
         )
-        holding = holdings._get(ACCOUNT)
+        holding = holdings._get_holding(ACCOUNT)
         holding.allowance.borrow(lender._holder, 0)
         holding.unconfirmed_hosts.add(fleet.find_primary("dc-0"))
         with anyio.fail_after(5):
@@ -318,7 +318,9 @@
         with anyio.move_on_after(0.1):
             await fleet.reserve(borrower, 800)
         with anyio.fail_after(5):
-            while lender._get(ACCOUNT).allowance.lent[f"{borrower}/1"].outstanding:
+            while (
+                lender._get_holding(ACCOUNT).allowance.lent[f"{borrower}/1"].outstanding
+            ):
                 await anyio.sleep(0.1)
 
 
@@ -338,11 +340,13 @@
     membership = Membership(store, Member("h-0", "h-0.1", "", "dc"))
     membership.settled = True
     accounts = [f"farm-{number}" for number in range(20)]
-    assert all(membership.keeps(account) for account in accounts)
+    assert all(membership.is_primary_for(account) for account in accounts)
     for number in range(1, 5):
         holder = name_holder(f"h-{number}", "1")
         spec = {"holder": holder, "address": "10.0.0.1:1", "data_centre": "dc"}
         store.put("relay-members", f"h-{number}", spec)
     assert await membership._refresh(stale=True)
-    primary_accounts = [account for account in accounts if membership.keeps(account)]
+    primary_accounts = [
+        account for account in accounts if membership.is_primary_for(account)
+    ]
     assert 0 < len(primary_accounts) < 12
--- a/knapweedrail/tests/test_relay_power_loss.py
+++ b/knapweedrail/tests/test_relay_power_loss.py
@@ -88,15 +88,15 @@
 
     async def scenario(fleet):
         account = next(iter(WEIGHTS))
-        host = next(h for h in fleet.hosts if not fleet.keeps(h, account))
+        host = next(h for h in fleet.hosts if not fleet.is_primary_for(h, account))
         fleet.part([host])
         await fleet.send_for(4.0, KINDS, WEIGHTS)
         fleet.kill(host)
-        assert fleet.count_ended(account) > 0
+        assert fleet.count_held_by_ended(account) > 0
         fleet.join()
         await anyio.sleep(1.0)
         fleet.start(host)
         await anyio.sleep(RECOVERY_SECONDS)
-        return fleet.count_ended(account)
+        return fleet.count_held_by_ended(account)
 
     assert run_scenario(200, seed, scenario) == 0
--- a/knapweedrail/tests/test_relay_queue_wait.py
+++ b/knapweedrail/tests/test_relay_queue_wait.py
@@ -177,11 +177,11 @@
             usage = {"knapweedrail_token_usage": "100,10"}
             answer = await relay.call(knapweedrail_request_id="id-2", **PROMPT, **usage)
             seconds = time.monotonic() - began_at
-        position = relay.holdings._get("farm").allowance.position
+        balance = relay.holdings._get_holding("farm").allowance.balance
     assert answer.status == 503
     assert b'"ran":"not run"' in answer.body
     assert float(answer.headers["retry-after"]) >= MAX_WAIT_FACTOR * objective
     assert seconds < objective
     assert len(runner.heads) == 1
     # Only the first caller's prompt is charged, as the runner may have prefilled it.
-    assert position.spent == 100
+    assert balance.spent == 100
--- a/knapweedrail/tests/test_relay_recovery.py
+++ b/knapweedrail/tests/test_relay_recovery.py
@@ -6,12 +6,12 @@
 
 from ..relay import holdings as holdings_module
 from ..relay.holdings import Holdings
-from ..relay.ledgers import decode_account, encode_account
+from ..relay.ledgers import decode_ledger, encode_ledger
 from ..relay.members import Membership
 from ..relay.models import Account, Member, RetryPolicy
-from ..relay.openings import Boot, Moment
 from ..relay.peers import PeerClient
 from ..relay.reservations import Reservation, Shortage
+from ..relay.vesting import Boot, BootTime
 from .relays_in_memory import MemoryStore, make_configuration, make_route
 
 pytestmark = pytest.mark.anyio
@@ -35,7 +35,9 @@
         self.started = self.read()
 
     def read(self):
-        return Moment(Boot(self.identity, self.time_of_day - self.uptime), self.uptime)
+        return BootTime(
+            Boot(self.identity, self.time_of_day - self.uptime), self.uptime
+        )
 
     def read_milliseconds(self):
         return self.uptime
@@ -106,7 +108,7 @@
 
 
 def read_ledger(store):
-    return decode_account(store.objects[KIND, ACCOUNT].spec)
+    return decode_ledger(store.objects[KIND, ACCOUNT].spec)
 
 
 async def run_hosts(count, scenario):
@@ -278,7 +280,7 @@
         await anyio.sleep(1.5)
         assert read_ledger(store).confirmed_used
         assert isinstance(await second.use(10), Reservation)
-        second.holdings._updater.schedule_refresh(second.holdings._get(ACCOUNT))
+        second.holdings._updater.schedule_refresh(second.holdings._get_holding(ACCOUNT))
         await anyio.sleep(1.5)
         store.unavailable = True
         assert isinstance(await second.use(2000), Reservation)
@@ -322,7 +324,7 @@
             for name, grant in ledger.grants.items()
         }
         granted = ledger.committed
-        spec = encode_account(attrs.evolve(ledger, grants=grants))
+        spec = encode_ledger(attrs.evolve(ledger, grants=grants))
         spec.pop("openings")
         await host.kill()
         store.put(KIND, ACCOUNT, spec)
@@ -345,7 +347,7 @@
     async def scenario(group, store, hosts):
         host = hosts[0]
         assert isinstance(await host.use(1000), Reservation)
-        spec = encode_account(read_ledger(store))
+        spec = encode_ledger(read_ledger(store))
         granted = read_ledger(store).committed
         spec["openings"] = dict.fromkeys(spec["openings"], invalid)
         await host.kill()
--- a/knapweedrail/tests/test_relay_shutdown_limits.py
+++ b/knapweedrail/tests/test_relay_shutdown_limits.py
@@ -9,7 +9,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ..relay.clocks import SignalClock
 from ..relay.models import RetryPolicy
 from ..relay.shutdowns import (
     ADMISSION_WINDOW_SECONDS,
@@ -18,6 +17,7 @@
     AnswerDurations,
     Shutdown,
 )
+from ..relay.stop_signals import StopSignalRecorder
 from .relays_in_memory import (
     ScriptedRunner,
     make_chunk,
@@ -102,7 +102,7 @@
 async def test_signal_time_is_recorded_while_event_loop_is_blocked():
     """A busy event loop handles a signal 0.3 s late, but the process is killed at a
     time that counts from the signal."""
-    clock = SignalClock()
+    clock = StopSignalRecorder()
     with anyio.open_signal_receiver(signal.SIGUSR1) as signals:
         clock.watch([signal.SIGUSR1])
         sent_at = time.monotonic()
@@ -112,7 +112,7 @@
         with anyio.fail_after(1):
             async for _ in signals:
                 break
-    assert clock.read() - sent_at < 0.1
+    assert clock.read_stop_time() - sent_at < 0.1
 
 
 @pytest.mark.anyio
--- a/knapweedrail/tests/test_relay_start.py
+++ b/knapweedrail/tests/test_relay_start.py
@@ -133,7 +133,7 @@
         "service = types.ModuleType('service')\n"
         "def __getattr__(name):\n"
         "    os.kill(os.getpid(), signal.SIGTERM)\n"
-        "    return lambda settings, listener, clock: clock.asked\n"
+        "    return lambda settings, listener, clock: clock.stop_requested\n"
         "service.__getattr__ = __getattr__\n"
         "sys.modules['knapweedrail.tools.service'] = service\n"
         f"relay.main(['--settings', {settings!r}])\n"
--- a/knapweedrail/tests/test_relay_successors.py
+++ b/knapweedrail/tests/test_relay_successors.py
@@ -113,7 +113,7 @@
         known = make_runner("i-9", "127.0.0.1:1", started=known_started)
         relay.table.set_runner(known)
         successors = relay.successors
-        successors.note(make_runner("i-0", runner.address), "i-9")
+        successors.report_mismatch(make_runner("i-0", runner.address), "i-9")
         with anyio.move_on_after(0.3):
             while relay.table.find_runner("i-9") == known:
                 await anyio.sleep(0.01)
--- a/knapweedrail/tools/relay.py
+++ b/knapweedrail/tools/relay.py
@@ -16,8 +16,8 @@
 
 from .. import __version__
 from ..listeners import open_listener
-from ..relay.clocks import SignalClock
 from ..relay.options import RelaySettings
+from ..relay.stop_signals import StopSignalRecorder
 from ..settings import read_settings
 
 EXIT_STOPPED = 0
@@ -63,7 +63,7 @@
     # A request to stop may come while the libraries are read. By default it would end
     # the process as if it had failed, and reset the connections of callers that wait;
     # so the relay starts, answers them, and stops in good order.
-    clock = SignalClock()
+    clock = StopSignalRecorder()
     clock.watch((signal.SIGTERM, signal.SIGINT))
     # Settings are read already, and what changed in them isn't taken up later either.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/knapweedrail/tools/service.py
+++ b/knapweedrail/tools/service.py
@@ -12,15 +12,15 @@
 from ..events import Event, log_event
 from ..loops import log_loop_errors
 from ..platform.relays import make_relay
-from ..relay.clocks import SignalClock
 from ..relay.logs import LogWriter
 from ..relay.options import RelaySettings
+from ..relay.stop_signals import StopSignalRecorder
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 def run_relay(
-    settings: RelaySettings, listener: socket.socket, clock: SignalClock
+    settings: RelaySettings, listener: socket.socket, clock: StopSignalRecorder
 ) -> bool:
     """Run a relay until it is asked to stop; return whether it stopped in good order.
 
@@ -46,7 +46,7 @@
 async def _serve(
     settings: RelaySettings,
     listener: socket.socket,
-    clock: SignalClock,
+    clock: StopSignalRecorder,
     logs: LogWriter,
 ) -> None:
     log_loop_errors()
@@ -55,7 +55,7 @@
         with anyio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP) as signals:
             clock.watch(STOP_SIGNALS)
             await relay.start(group)
-            while not clock.asked:
+            while not clock.stop_requested:
                 if await anext(signals) != signal.SIGHUP:
                     break
                 # Addresses and bounds stay those of the start; what may change while
@@ -63,5 +63,5 @@
                 log_event(Event.SETTINGS_CHANGED)
             # Inside, since a further signal would find no handler any more and kill the
             # process in the middle of its answers.
-            await relay.close(clock.read())
+            await relay.close(clock.read_stop_time())
         group.cancel_scope.cancel()
