--- a/knapweedrail/tests/test_relay_news.py
+++ b/knapweedrail/tests/test_relay_news.py
@@ -2,7 +2,7 @@
 
 import anyio
 import pytest
-from hypothesis import Phase, given, settings
+from hypothesis import Phase, given, seed, settings
 from hypothesis import strategies as st
 
 from ..relay.options import RelaySettings
@@ -227,6 +227,26 @@
 )
 
 
+SCHEDULES_SEED = int(
+    "e4e86a33947af6230bc2a1ccc407da5f5e47f51c3eeadb90"
+    "ba0de42e1f02ceeb3b794c1e1867cf1cd040745a68fd5ed9",
+    16,
+)
+"""Seed of the drawn schedules; without it they would depend on the test's source."""
+
+OVERDUE_SCHEDULE = [
+    ("resume", 5, 0.1538258094318683),
+    ("pause", 2, 1.9308884539352307),
+    ("part", 0, 1.6637830496429857),
+    ("compact", 8, 3.0),
+    ("lose", 5, 0.12765360358151645),
+    ("up", 7, 1.047156264740683),
+    ("resume", 8, 0.3489996445340273),
+    ("start", 5, 0.5695224373571419),
+]
+"""A schedule, drawn with another seed, after which an update takes 2.15 s."""
+
+
 async def run_faults(fleet, faults):
     hosts = list(fleet.hosts)
     for fault, number, pause in faults:
@@ -271,6 +291,7 @@
     await change_for(fleet, 8.0)
 
 
+@seed(SCHEDULES_SEED)
 @settings(
     max_examples=20,
     deadline=None,
@@ -290,6 +311,16 @@
     assert all(relay.version >= newest - 3 for relay in fleet.relays.values())
 
 
+def test_partition_and_lost_store_delay_no_update_beyond_bounds():
+    """Guards against an update that takes longer than 2 s: a partitioned data centre
+    loses the store's history, and a host of the other one its store."""
+
+    async def scenario(fleet):
+        await run_faults(fleet, OVERDUE_SCHEDULE)
+
+    check(run_scenario([9, 2], scenario))
+
+
 def test_check_detects_a_source_that_drops_changes(monkeypatch):
     """Guards against a check that wouldn't notice changes that are never sent."""
     monkeypatch.setattr(Replica, "encode_changes", lambda self, since: b"")
