--- a/knapweedrail/relay/attempts.py
+++ b/knapweedrail/relay/attempts.py
@@ -20,8 +20,8 @@
 
 FIRST_BYTE_FACTOR = 2.0
 """First-byte timeout of a repeatable request, as a multiple of its route's latency
-objective. At twice the objective the answer is late anyway, and an answer that is still
-coming usually arrives soon after."""
+objective. At twice the objective the answer is late anyway, and one that still arrives
+usually does so soon after."""
 
 FIRST_BYTE_SHARE = 0.4
 """First-byte timeout as a share of the remaining time, if that is less. It leaves more
@@ -39,9 +39,9 @@
 timeout may be shorter than its work takes, which is no evidence against the runner."""
 
 QUEUED_PROMPTS = 2.0
-"""Prompts of average length queued at a runner above which requests carry the priority
-that includes their route. A new prompt then waits about as long as its own prefill
-takes."""
+"""Queue length at a runner, in prompts of average length, above which requests carry
+the priority by account and route. A new prompt then waits about as long as its own
+prefill takes."""
 
 
 MISDIRECTED = 421
@@ -57,7 +57,7 @@
     Attributes:
         connection: Connection to the runner.
         answer: Head of the runner's answer.
-        splitter: Holds the incomplete event received last.
+        splitter: Splitter of this run, which buffers the incomplete last event.
     """
 
     connection: RunnerConnection
@@ -154,8 +154,8 @@
     def _handle_connection_error(self, error: ConnectionFailed) -> AttemptFailed:
         """Record a failed connection and return the outcome of the attempt.
 
-        While this host's event loop is late, a timeout isn't recorded against the
-        runner.
+        A timeout isn't recorded against the runner while this host's late event loop or
+        slow link may have caused it.
         """
         late = self._context.services.overload.may_cause_timeouts(time.monotonic())
         if not (error.timed_out and late):
@@ -209,7 +209,8 @@
                     chunks = connection.receive_body()
                     first_events = await self._receive_events(chunks, splitter)
         except anyio.get_cancelled_exc_class():
-            # The caller disconnected. Its wait still counts as a sample.
+            # The request was cancelled, for example because the caller disconnected.
+            # The time waited so far is still recorded for the runner.
             self._record_timeout(began_at)
             raise
         if answer is None or scope.cancelled_caught:
@@ -236,7 +237,8 @@
     def _record_timeout(self, began_at: float) -> None:
         """Record that the first byte of an answer didn't arrive in time."""
         if self._context.services.overload.may_cause_timeouts(time.monotonic()):
-            # This host's event loop is late, so the answer may have arrived in time.
+            # This host's event loop or link is slow, so the runner may have answered in
+            # time.
             return
         self._record_prompt_wait(began_at, abandoned=True)
         if time.monotonic() - began_at >= UNRESPONSIVE_SECONDS:
@@ -313,11 +315,11 @@
         if answer.not_run:
             self._context.may_have_run = self._may_have_run_before
             if answer.status == MISDIRECTED:
-                # The intended runner is gone and never received the request, and the
-                # runner that now has its address hasn't run it either. Counting this
-                # attempt used up the only one that many routes allow: when a quarter
-                # of all runners crashed at once, 500 callers were refused although
-                # the other runners had capacity.
+                # The intended runner no longer exists and never received the request,
+                # and the runner that now has its address hasn't run it either. Many
+                # routes allow only one attempt. While misdirected ones counted, 500
+                # callers were refused when a quarter of all runners crashed at once,
+                # although the other runners had capacity.
                 self._context.counted_attempts -= 1
             self._record_rejection(answer)
             detail = f"rejected with {answer.status}"
@@ -345,7 +347,7 @@
         return Answered(answer.status, self._view.runner.name), reusable
 
     async def _receive_events(self, chunks: Any, splitter: EventSplitter) -> bytes:
-        """Return the next events that the caller lacks; empty at the end."""
+        """Return the next events that the caller lacks; empty at the stream's end."""
         async for chunk in chunks:
             data = self._context.progress.select_new(splitter.feed(chunk))
             if data:
@@ -368,7 +370,7 @@
                 await self._send_chunk(answer, data)
                 if not self._may_fail_over():
                     # The remaining time already bounds the wait, and a timeout for each
-                    # event is expensive where streams are most of the work.
+                    # event is expensive if most requests are streams.
                     data = await self._receive_events(chunks, splitter)
                     continue
                 data = b""
@@ -446,13 +448,13 @@
             )
 
     def _record_limit(self, answer: RunnerAnswer, sent_at: float) -> None:
-        """Record the rate limit in an answer, or that the runner has none any more."""
+        """Record the rate limit in an answer, or that the runner no longer has one."""
         context = self._context
         if answer.status == MISDIRECTED or answer.identity != context.request.identity:
             return
         if answer.limit is None and answer.status not in SUCCESS_STATUSES:
-            # A rejection or error may omit the limit, as it may be produced before the
-            # runner evaluates the rest of the request.
+            # Rejections and errors may lack the limit, as a runner may send them before
+            # it has evaluated the rest of the request.
             return
         update = context.services.runners.record_limit(
             self._view, answer.limit, time.monotonic(), sent_at
--- a/knapweedrail/relay/forwarding.py
+++ b/knapweedrail/relay/forwarding.py
@@ -21,7 +21,7 @@
 HANDOVER_SECONDS = 0.3
 """Time for which the run of a stalled stream stays open while another runner is asked
 to resume it. A full runner rejects the request within some milliseconds. Runs of one
-request may overlap for 0.4 s, and the network latency to the runner uses part of it."""
+request may overlap for 0.4 s, which includes the network latency to the runner."""
 
 MAX_FAILED_CONNECTS = 4
 """Connection failures after which a request is given up. Nothing has run at these
@@ -67,7 +67,7 @@
         return self._context.route
 
     async def run(self) -> Answered | Broken | Refusal:
-        """Send the request to runners until one answers or no attempt is left."""
+        """Send the request to runners until one answers or no retry is allowed."""
         try:
             return await self._forward()
         finally:
@@ -123,7 +123,7 @@
                 )
 
     async def _attempt_runner(self, view: RunnerView) -> Answered | AttemptFailed:
-        """Send the request to a runner, ending a stalled run after a grace period."""
+        """Send the request to a runner; end a stalled run after `HANDOVER_SECONDS`."""
         attempt = Attempt(self._context, view, self._close_stalled)
         if self._stalled is None:
             outcome = await attempt.run()
@@ -204,7 +204,7 @@
         return services.overload.compute_redirect_delay(now) + jitter
 
     def _refuse_queue_wait(self) -> Refusal | None:
-        """Refuse a prompt if the queues of all runners are too long.
+        """Refuse a prompt that would wait at every runner until its caller gives up.
 
         Returns:
             The refusal; ``None`` if the request may go on.
@@ -271,7 +271,8 @@
     ) -> Answered | Broken | Refusal:
         """Return the final outcome after the last attempt.
 
-        If the runner answered with an error, that answer is passed on.
+        If the runner answered with an error, that answer is passed on, unless the
+        caller has already received part of a stream.
         """
         answer, response = outcome.answer, self._context.response
         if answer is None or response.started:
@@ -294,20 +295,21 @@
     ) -> Refusal:
         """Refuse a request that no runner has run, with a retry-after time.
 
-        If every runner limits its rate, that includes the time until the next slot.
+        If the rate limits of all runners are reached, the time includes the wait until
+        one of them accepts the next request, up to the route's timeout.
         """
         context = self._context
         retry_after = draw_retry_after(context.services.rng)
-        next_slot = context.services.runners.compute_limit_wait(
+        limit_wait = context.services.runners.compute_limit_wait(
             context.endpoint.name,
             context.priorities.by_account_and_route,
             time.monotonic(),
         )
-        if last_failure is None and next_slot is not None:
+        if last_failure is None and limit_wait is not None:
             detail = "every runner has limited its requests"
-            retry_after += min(next_slot, context.route.timeout)
+            retry_after += min(limit_wait, context.route.timeout)
         kind = (
-            RefusalKind.FULL if last_failure or next_slot else RefusalKind.NO_ENDPOINT
+            RefusalKind.FULL if last_failure or limit_wait else RefusalKind.NO_ENDPOINT
         )
         return self._refuse(kind, Ran.NOT_RUN, detail, retry_after)
 
@@ -333,8 +335,11 @@
         )
 
     def count_tokens(self) -> int:
-        """Return the tokens to charge: the prompt, if the request may have run, and the
-        events passed on."""
+        """Return the number of tokens to charge.
+
+        Nothing is charged if the request can't have run. Otherwise it is the prompt and
+        the events passed on, up to the output limit of the request.
+        """
         context = self._context
         if not context.may_have_run:
             return 0
--- a/knapweedrail/relay/gateway.py
+++ b/knapweedrail/relay/gateway.py
@@ -58,7 +58,7 @@
     Attributes:
         active_requests: Number of requests in progress.
         last_request_at: Arrival of the latest request, monotonic seconds.
-        closing: Admission of requests while the process shuts down.
+        drain: Admission and cancellation of requests while the process shuts down.
     """
 
     def __init__(
@@ -86,13 +86,13 @@
         except CallerDisconnected:
             log_event(Event.CALLER_GONE, path=scope["path"])
         except Exception as error:
-            # The server closes the connection, which the caller can't mistake for a
-            # complete answer.
+            # The server closes the connection, so the caller can't mistake what it has
+            # received for a complete answer.
             log_event(Event.TASK_FAILED, task="request", error=repr(error))
             raise
         except anyio.get_cancelled_exc_class():
-            # The server cancels the request, before it was admitted or while bytes are
-            # passed on.
+            # The server cancelled the request, either before its admission or while
+            # its response was being sent.
             if not response.complete:
                 log_event(Event.REQUEST_CUT_OFF, path=scope["path"])
             raise
@@ -100,7 +100,7 @@
             self.active_requests -= 1
 
     def _should_close_connections(self) -> bool:
-        """Return whether callers should reconnect, which leads them to another host."""
+        """Return whether callers should reconnect, so that they reach another host."""
         return self.drain.active or self._services.overload.is_out_of_rotation(
             time.monotonic()
         )
@@ -113,8 +113,8 @@
             scope["method"], scope["raw_path"], scope["query_string"], scope["headers"]
         )
         if isinstance(request, Malformed):
-            # It isn't known where a malformed request ends. What follows it on the
-            # connection may be its body and must not be run as a request.
+            # The end of a malformed request can't be determined. The bytes that follow
+            # may be its body and must not be run as another request.
             response.close_connection_after()
             await self._refuse(response, "", refuse_malformed(request.reason))
             return
@@ -274,7 +274,7 @@
     async def _run_until_shutdown(
         self, forwarder: RequestForwarder
     ) -> Answered | Broken | Refusal:
-        """Run a forwarder, and abort it if the process reaches its shutdown limit."""
+        """Run a forwarder, and abort it at the time limit that a shutdown sets."""
         route, began_at = forwarder.route, time.monotonic()
         timing_id = self.drain.answer_durations.begin(route.name, began_at)
         outcome = None
--- a/knapweedrail/relay/refusals.py
+++ b/knapweedrail/relay/refusals.py
@@ -18,14 +18,14 @@
     RefusalKind.OUTCOME_UNKNOWN: 502,
 }
 """HTTP status of each kind of refusal. All others use 503, which guarantees callers
-that the request has not run."""
+that the request has not run; the gateway sends 502 instead if it may have run."""
 
 OUT_OF_REACH_RETRY_AFTER_SECONDS = (2.0, 3.0)
 """Range of the retry-after time, in seconds, if the budget can't be reached. The store
 is queried again every second, and an outage seldom ends sooner."""
 
 OTHER_HOST_RETRY_AFTER_SECONDS = (0.01, 0.05)
-"""Range of the retry-after time, in seconds, for a caller that should use another host.
+"""Range of the retry-after time, in seconds, for a caller that this host can't serve.
 It reconnects to another host, which can serve it at once."""
 
 QUARANTINE_RETRY_AFTER_SECONDS = 60.0
@@ -53,7 +53,7 @@
     """Return a refusal of a request that may not complete before shutdown.
 
     Args:
-        remaining: Time until this process ends, seconds.
+        remaining: Time left for answers before the shutdown, seconds.
         slowest: Longest time that answers on the route take, seconds.
         rng: Source of the random retry-after time.
     """
--- a/knapweedrail/relay/request_bodies.py
+++ b/knapweedrail/relay/request_bodies.py
@@ -12,8 +12,8 @@
 from .refusals import refuse
 
 SLOW_BODY_RETRY_AFTER_SECONDS = 1.0
-"""Retry-after time for a caller whose body arrived too slowly, as its link may be
-congested."""
+"""Retry-after time, in seconds, for a caller whose body arrived too slowly, as its link
+may be congested."""
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 
--- a/knapweedrail/relay/request_context.py
+++ b/knapweedrail/relay/request_context.py
@@ -76,6 +76,8 @@
         runners: Known runners and their state.
         retry_budget: Retry budget of this relay.
         data_centre: Name of this host's data centre.
+        rng: Source of random choices and retry-after times.
+        metrics: Metrics of this relay.
         suspects: Requests that may crash runners.
         send_suspects: Sends lines about suspects to the other relays.
         overload: Load of this host.
@@ -115,8 +117,9 @@
             seconds.
         response: Response to the caller.
         progress: Events of a stream that the caller has received.
-        counted_attempts: Attempts that count against the route's limit. Not counted
-            are those where another runner answered at the address.
+        counted_attempts: Attempts that count against the route's ``max_runners``:
+            requests sent to a runner, except those rejected as misdirected by another
+            runner at its address.
         may_have_run: Whether a runner may have begun to work on the request. It is set
             before the first byte is sent, so that the prompt is charged even if the
             caller disconnects right after.
--- a/knapweedrail/relay/routes.py
+++ b/knapweedrail/relay/routes.py
@@ -17,11 +17,12 @@
     """Priorities that may be sent to a runner with one request; 0 is the most urgent.
 
     Attributes:
-        by_account: Priority by client account alone, sent while no requests queue.
+        by_account: Priority by client account alone, sent to runners without a queue.
         by_account_and_route: Priority by client account, then by route, sent to runners
             with queued requests. Runners preempt running requests for more urgent
             ones, so different priorities cost time where nothing queues. When this
-            priority was always sent, a tenth of all answers became late.
+            priority was always sent, a tenth of all answers were late that were on time
+            otherwise.
     """
 
     by_account: int
@@ -45,7 +46,7 @@
             key: account for account in accounts.values() for key in account.keys
         }
 
-        self._sorted_keys = _list_priority_keys(configuration)
+        self._priority_keys = _list_priority_keys(configuration)
 
     @property
     def needs_keys(self) -> bool:
@@ -66,13 +67,13 @@
         """Return the priorities of a request.
 
         Requests are ordered by the priority of their account, and among accounts of
-        equal priority by that of their route. Without an account the route's priority
-        takes the place of the account's.
+        equal priority by that of their route. Without an account, or if the account has
+        no priority, the route's priority takes the place of the account's.
         """
-        account_rank = account.priority if account is not None else None
-        priority_key = _make_priority_key(route.priority, account_rank)
+        account_priority = account.priority if account is not None else None
+        priority_key = _make_priority_key(route.priority, account_priority)
         same_account = [
-            pair for pair in self._sorted_keys if pair[0] == priority_key[0]
+            pair for pair in self._priority_keys if pair[0] == priority_key[0]
         ]
         return Priorities(
             by_account=self._compute_level(same_account[0]),
@@ -80,14 +81,16 @@
         )
 
     def _compute_level(self, priority_key: tuple[int, int]) -> int:
-        position = self._sorted_keys.index(priority_key)
+        position = self._priority_keys.index(priority_key)
         return min(
             PRIORITY_LEVELS - 1,
-            position * PRIORITY_LEVELS // max(PRIORITY_LEVELS, len(self._sorted_keys)),
+            position
+            * PRIORITY_LEVELS
+            // max(PRIORITY_LEVELS, len(self._priority_keys)),
         )
 
     def find_account(self, key: str | None) -> Account | None:
-        """Return the account that an API key belongs to."""
+        """Return the account that an API key belongs to; ``None`` if there is none."""
         return self._accounts.get(key) if key else None
 
 
--- a/knapweedrail/relay/streams.py
+++ b/knapweedrail/relay/streams.py
@@ -1,7 +1,8 @@
 """Parsing of server-sent event streams and tracking of the events passed on.
 
 A runner may fail in the middle of an event, and another one then resumes after the
-last event that the caller has. So only complete events are passed on, and each once.
+last event that the caller has received. So only complete events are passed on, and
+each once.
 The module does no I/O and reads no clock.
 """
 
--- a/knapweedrail/relay/unknown_headers.py
+++ b/knapweedrail/relay/unknown_headers.py
@@ -5,7 +5,7 @@
 from ..events import Event, log_event
 
 MAX_NAMES = 50
-"""Limit on the names logged, as a runner could send any number of different ones."""
+"""Maximum number of names logged, as a runner could send any number of them."""
 
 
 class UnknownHeaderLog:
--- a/knapweedrail/tests/relays_in_memory.py
+++ b/knapweedrail/tests/relays_in_memory.py
@@ -91,8 +91,8 @@
         self.peeks += 1
         if self.unavailable:
             return Unavailable("peek", "store", "away")
-        known = self.stale.get((kind, name)) or self.objects.get((kind, name))
-        return copy.deepcopy(known) if known else Missing()
+        current = self.stale.get((kind, name)) or self.objects.get((kind, name))
+        return copy.deepcopy(current) if current else Missing()
 
     async def create(self, kind: str, name: str, spec: Any) -> Any:
         return await self._write(kind, name, spec, None)
@@ -122,12 +122,12 @@
             return Unavailable("write", "store", "away")
         if result == "drop":
             return Unknown("write", "store", "no answer")
-        known = self.objects.get((kind, name))
-        if known is None and revision is not None:
+        current = self.objects.get((kind, name))
+        if current is None and revision is not None:
             return Missing()
-        if known is not None and known.revision != revision:
+        if current is not None and current.revision != revision:
             self.conflicts += 1
-            return Conflict(copy.deepcopy(known))
+            return Conflict(copy.deepcopy(current))
         self.writes += 1
         stored = self.put(kind, name, spec)
         if result == "lose":
@@ -212,7 +212,7 @@
 
 
 def make_stream_head(head: str) -> bytes:
-    """Return the head of an event stream's answer."""
+    """Return the head of an answer that is an event stream."""
     identity = find_header(head, "knapweedrail-request-id")
     return (
         f"HTTP/1.1 200 OK\r\nKnapweedrail-Request-Id: {identity}\r\n"
@@ -222,7 +222,7 @@
 
 
 def make_chunk(data: bytes) -> bytes:
-    """Return one chunk of a body; an empty one ends it."""
+    """Return one chunk of a chunked body; an empty one ends the body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -354,16 +354,19 @@
     """Run a relay with scripted runners.
 
     Args:
-        others: Names of the other hosts that it knows.
+        configuration: Its configuration; ``None`` for a relay that has none yet.
+        store: Store to use instead of a new one.
+        host: Name of its host.
+        others: Names of the other hosts in its membership.
     """
     store = store or MemoryStore()
     table = RunnerTable(grace_seconds=1.9)
-    follower = ConfigurationWatcher(
+    watcher = ConfigurationWatcher(
         store, "config", WATCH_SECONDS, lambda spec: spec, "main"
     )
     if configuration is not None:
-        follower.set(store.put("config", "main", configuration))
-        follower.confirmed_at = float("inf")
+        watcher.set(store.put("config", "main", configuration))
+        watcher.confirmed_at = float("inf")
     membership = Membership(store, Member(host, f"{host}/1", "", "dc"))
     membership.settled = True
     membership._senders.set_names(others)
@@ -386,14 +389,14 @@
         count_relays=lambda: 1,
         report_mismatch=successors.report_mismatch,
     )
-    gateway = Gateway(services, follower, holdings)
+    gateway = Gateway(services, watcher, holdings)
     async with anyio.create_task_group() as group:
         for number, runner in enumerate(runners):
             await runner.serve(group)
             table.set_runner(make_runner(f"i-{number}", runner.address))
         await holdings.start(group)
         await successors.start(group)
-        yield MemoryRelay(store, gateway, holdings, table, pool, follower, successors)
+        yield MemoryRelay(store, gateway, holdings, table, pool, watcher, successors)
         await holdings.close()
         await successors.close()
         await pool.close()
--- a/knapweedrail/tests/test_relay_deployments.py
+++ b/knapweedrail/tests/test_relay_deployments.py
@@ -75,7 +75,7 @@
 
 
 async def test_single_relay_can_reserve_most_of_the_budget():
-    """The only relay must be able to reserve most of the remaining budget."""
+    """One request needs 900 of the 1000 tokens left, and there is no other relay."""
     configuration = make_configuration(SAFE, prepaid=1000)
     async with run_relay(configuration, ScriptedRunner(answer_normally)) as relay:
         answer = await relay.call(knapweedrail_token_usage="700,200")
--- a/knapweedrail/tests/test_relay_exchanges.py
+++ b/knapweedrail/tests/test_relay_exchanges.py
@@ -107,8 +107,7 @@
 
 async def test_non_repeatable_request_is_not_retried_after_a_lost_answer():
     """The runner closes the connection after it has read the request, which may have
-    run. A retry could run it twice, such as send two gangs to one farm, and a refusal
-    as "not run" would be false."""
+    run. A retry could run it twice, and a refusal as "not run" would be false."""
 
     async def close_connection(stream, head):
         return False
@@ -121,7 +120,7 @@
 
 
 async def test_repeatable_request_is_retried_at_another_runner():
-    """One runner closes the connection without an answer; callers must not notice."""
+    """One runner closes the connection without an answer; the other one answers."""
 
     async def close_connection(stream, head):
         return False
@@ -236,8 +235,8 @@
 
 
 async def test_caller_disconnect_closes_the_runner_connection():
-    """A caller disconnects. Unless its connection is closed, the runner would continue
-    work that nobody waits for."""
+    """A caller disconnects. Unless the relay closes its connection to the runner, the
+    runner would continue to work on an answer that is discarded."""
     ended = anyio.Event()
 
     async def run_long(stream, head):
@@ -300,7 +299,7 @@
 
 
 async def test_tokens_are_charged_for_delivered_events():
-    """Charged are the prompt, once, and one token for each event passed on. The rest of
+    """The prompt is charged once, and one token for each event passed on. The rest of
     the reservation for the largest answer is released."""
     configuration = make_configuration(STREAM, prepaid=1000)
     async with run_relay(configuration, ScriptedRunner(stream_three_events)) as relay:
@@ -388,9 +387,9 @@
 
 async def test_abandoned_request_resets_the_runner_connection():
     """A network partition delays a request and its caller disconnects. When the
-    partition heals, the kernel would still deliver the request. It would run for
-    nobody, and twice if the caller has sent it again. A reset of the connection
-    discards the unsent data."""
+    partition heals, the kernel would still deliver the request. It would run
+    although no caller waits for it, and twice if the caller has sent it again. A reset
+    of the connection discards the unsent data."""
     ends = []
 
     async def wait_for_end(stream, head):
