--- a/knapweedrail/relay/connections.py
+++ b/knapweedrail/relay/connections.py
@@ -171,7 +171,7 @@
 
         After an orderly close, bytes held up by a network partition stay in the
         kernel's send buffer. They arrive when the partition heals, seconds after the
-        caller has left, and the runner runs a request nobody waits for. A reset
+        caller has disconnected, and the runner processes an abandoned request. A reset
         discards them.
         """
         raw = self._stream.extra(anyio.abc.SocketAttribute.raw_socket)
@@ -229,8 +229,8 @@
     """Idle connections to runners, by incarnation.
 
     The most recently used connection is reused first. It is the least likely to have
-    been closed by the runner or dropped on the path, and the others can reach their
-    idle timeout.
+    been closed by the runner or forgotten by a device on the path, and the others can
+    reach their idle timeout.
 
     Attributes:
         open_counts: Number of open connections, idle or in use, by incarnation.
--- a/knapweedrail/relay/incarnations.py
+++ b/knapweedrail/relay/incarnations.py
@@ -29,7 +29,7 @@
     Without it, a write of an earlier incarnation that the store applies late, or an
     outdated list in transit, would replace the current state of a runner. It would get
     requests that no process serves, and the load and health of the current incarnation
-    would be lost. Incarnations are remembered longer than the runner's own record,
+    would be lost. Incarnations are remembered longer than the runner's `RunnerView`,
     which is deleted soon after its entry.
     """
 
@@ -51,9 +51,9 @@
 class StartTimeTracker:
     """Tracks whether the runners of this cluster report their start time.
 
-    If they do, an entry without a start was written by something else and names no
-    runner. Clusters whose runners don't report it yet are served too. So the majority
-    decides, and a single foreign entry with a start doesn't invalidate all runners.
+    If they do, an entry without a start is foreign and names no runner. Clusters whose
+    runners don't report it yet are served too, so the majority decides: a single
+    foreign entry with a start must not invalidate all runners.
     """
 
     def __init__(self) -> None:
--- a/knapweedrail/relay/overload.py
+++ b/knapweedrail/relay/overload.py
@@ -12,11 +12,11 @@
 """Interval between measurements of the event loop's delay."""
 
 MAX_SAMPLE_SECONDS = 0.5
-"""Upper bound of one sample; any larger delay is equally far too long."""
+"""Upper bound of one sample; larger delays need not be distinguished."""
 
 STALL_SECONDS = 2.0
-"""Longer delays mean that the whole process was stopped, which says nothing about its
-load, and are ignored."""
+"""Delay from which a sample is ignored: the whole process was probably stopped, which
+says nothing about its load."""
 
 FAST_MEAN_SECONDS = 0.15
 SLOW_MEAN_SECONDS = 1.0
@@ -36,7 +36,7 @@
 byte, at which no answer would be in time."""
 
 MAX_SHED_SHARE = 0.9
-"""Maximum share of requests that is shed; the rest shows when there is capacity
+"""Maximum share of requests that is shed. The accepted ones show when there is capacity
 again."""
 
 OUT_OF_ROTATION_DELAY_SECONDS = 0.08
@@ -73,7 +73,7 @@
 
     The load balancer distributes callers by a hash, so a small host may get ten times
     the requests of the next one. Connections to healthy runners then seem to time out,
-    all runners are ejected one after another, and every caller there is refused while
+    all runners are ejected one after another, and the host refuses every caller while
     other hosts are idle. A host that sheds load early serves the rest in time, and
     callers of the shed requests are served by other hosts.
 
@@ -112,7 +112,7 @@
             self._out_of_rotation_until = now + MIN_OUT_OF_ROTATION_SECONDS
 
     def record_connect_time(self, runner: str, seconds: float, now: float) -> None:
-        """Record the seconds that a connection to a runner took or timed out after.
+        """Record how long it took to connect to a runner or to time out, seconds.
 
         A saturated link affects connections to all runners. So slow connections to the
         same runner within `LINK_DECAY_SECONDS` count only once, as many requests may be
@@ -144,23 +144,27 @@
         """Record that a network partition keeps this data centre from serving callers.
 
         Callers may still reach a data centre that is partitioned from the others, while
-        what they request runs elsewhere or on too few runners here. Once all of its
+        the runners for their requests are elsewhere or too few here. Once all of its
         hosts are out of rotation, the load balancer sends callers to another data
         centre.
 
         Returns:
             Whether the host was in rotation until now.
         """
-        new = now >= self._out_of_rotation_until
-        if new:
+        was_in_rotation = now >= self._out_of_rotation_until
+        if was_in_rotation:
             self._partitioned_at = now
         self._out_of_rotation_until = max(
             self._out_of_rotation_until, now + MIN_OUT_OF_ROTATION_SECONDS
         )
-        return new
+        return was_in_rotation
 
     def compute_redirect_delay(self, now: float) -> float:
-        """Return the seconds until callers stop coming after a noticed partition."""
+        """Return the time until the load balancer redirects callers, seconds.
+
+        Counted from the partition that took the host out of rotation; 0 once that time
+        has passed.
+        """
         return max(0.0, self._partitioned_at + BALANCER_REACTION_SECONDS - now)
 
     def estimate_connect_time(self, now: float) -> float:
@@ -201,5 +205,8 @@
 
 
 def _compute_shed_share(delay: float, start: float, full: float) -> float:
-    """Return the share of requests to shed, rising from 0 at `start` until `full`."""
+    """Return the share of requests to shed, rising linearly from `start` to `full`.
+
+    It is 0 below `start` and never more than `MAX_SHED_SHARE`.
+    """
     return max(0.0, min(MAX_SHED_SHARE, (delay - start) / (full - start)))
--- a/knapweedrail/relay/queue_wait.py
+++ b/knapweedrail/relay/queue_wait.py
@@ -14,7 +14,7 @@
 MAX_WAIT_FACTOR = 0.4
 """Fraction of the route's objective that prompts may wait at every runner before the
 relay refuses further ones. Prefill takes half of the objective at the median, so a
-prompt behind a longer wait certainly misses it, as do all that follow."""
+prompt behind a longer wait misses it, as do all that follow."""
 
 RETRY_AFTER_SPREAD = (1.0, 1.5)
 """Bounds of the random factor that turns the wait into a retry time. A queue takes
@@ -30,7 +30,7 @@
     Handles more prompts than the runners can prefill, for example when a network
     partition leaves a data centre with one runner. Every prompt would then wait until
     its caller gives up, its tokens would count as used, and the runner would prefill
-    prompts nobody waits for.
+    prompts whose callers have disconnected.
 
     The queue's wait is at least that of its oldest prompt, whatever the runner's speed
     or the length of the prompts, so no load report is needed. Another bound is the wait
@@ -44,7 +44,7 @@
 
 
 def compute_retry_after(wait: float, route: Route, rng: random.Random) -> float | None:
-    """Return when to retry a prompt that would wait too long, seconds.
+    """Return the retry delay of a prompt that would wait too long, seconds.
 
     Args:
         wait: Lower bound of the prompt's waiting time, seconds.
--- a/knapweedrail/relay/runner_views.py
+++ b/knapweedrail/relay/runner_views.py
@@ -11,13 +11,13 @@
 from .models import Runner, RunnerIncarnation
 
 LOAD_REPORT_TTL_SECONDS = 1.0
-"""How long a runner's load report counts. Requests take a second or less at the median,
-so an older report says nothing about the current load."""
+"""Time in which the weight of a runner's load report falls to zero. Requests take a
+second or less at the median, so an older report says nothing about the current load."""
 
 
 @attrs.define
 class RunnerView:
-    """Load and health of one incarnation of a runner, as this relay knows them.
+    """Load and health of one incarnation of a runner, as observed by this relay.
 
     Attributes:
         runner: Its latest entry.
@@ -28,22 +28,25 @@
         awaiting_first_byte: Send time and priority of each of these, oldest first.
         last_wait: How long the last prompt waited for its first byte or until it was
             abandoned, seconds.
-        last_wait_at: When that was.
-        last_wait_abandoned: Whether it was abandoned.
+        last_wait_at: Monotonic time at which that wait ended, seconds.
+        last_wait_abandoned: Whether that prompt was abandoned.
         other_requests: Number of other relays' requests, from its last load report.
         other_requests_waiting: How many of those had no first byte yet.
-        reported_at: Time of its last load report, seconds.
+        reported_at: Monotonic time of its last load report, seconds.
         failure_rate: Moving average of the share of failed answers.
-        latency: Moving average of the time to the first byte, seconds; 0 before any.
-        ejected_until: When it may get requests again after failures.
-        ejection_seconds: Length of its last ejection.
-        backoff_until: When it may get requests again after a rejection.
-        unlisted_at: When its entry vanished from the list; ``None`` while listed.
-        absent_since: When it was first missing from a current list. Set only for a
-            runner that was found at another's address and isn't listed yet.
-        limit_record: What is known of a rate limit that it states for its requests.
+        latency: Moving average of the time to the first byte, seconds; 0 before
+            the first answer.
+        ejected_until: Monotonic time until which it gets no requests after failures.
+        ejection_seconds: Length of its last ejection; 0 after recovery.
+        backoff_until: Monotonic time until which it gets none after a rejection.
+        unlisted_at: Monotonic time at which its entry vanished from the list; ``None``
+            while listed.
+        absent_since: Monotonic time at which it was first missing from a current list.
+            Set only for a runner that was found at another runner's address and isn't
+            listed yet.
+        limit_record: The rate limit that its answers state, if any.
         superseded: Whether a later incarnation of the runner is known. Results of its
-            last requests then say nothing about a runner that can get requests.
+            remaining requests then say nothing about the later one.
     """
 
     runner: Runner
@@ -81,7 +84,8 @@
         """Return the prompt tokens it has to prefill before those of a new request.
 
         Args:
-            mean_prompt_tokens: Mean prompt tokens per request, for other relays' ones.
+            mean_prompt_tokens: Mean prompt tokens per request, assumed for those of
+                other relays.
         """
         others = self._compute_report_weight(now) * self.other_requests_waiting
         return self.pending_prompt_tokens + others * mean_prompt_tokens
@@ -96,12 +100,12 @@
         Args:
             priority: Urgency of the request; 0 is the most urgent.
         """
-        left = max(0.0, self.last_wait - (now - self.last_wait_at))
+        remaining = max(0.0, self.last_wait - (now - self.last_wait_at))
         for sent_at, other_priority in self.awaiting_first_byte.values():
             if priority is None or other_priority is None or other_priority <= priority:
-                return max(left, now - sent_at)
+                return max(remaining, now - sent_at)
         others = self._compute_report_weight(now) * self.other_requests_waiting
-        return left if others or self.last_wait_abandoned else 0.0
+        return remaining if others or self.last_wait_abandoned else 0.0
 
     def _compute_report_weight(self, now: float) -> float:
         return max(0.0, 1.0 - (now - self.reported_at) / LOAD_REPORT_TTL_SECONDS)
--- a/knapweedrail/relay/runners.py
+++ b/knapweedrail/relay/runners.py
@@ -1,4 +1,4 @@
-"""Runner table: one relay's view of the listed runners, their load and health.
+"""Runner table: the runners known to one relay, with their load and health.
 
 Pure: the clock is passed in.
 """
@@ -25,8 +25,8 @@
 """Maximum number of prefixes remembered, about 2 MB; the oldest are evicted first."""
 
 REJECTION_BACKOFF_SECONDS = 0.15
-"""How long a runner that rejected a request for lack of capacity gets no other: about
-the time in which one of its slots becomes free. A request sent sooner wastes one
+"""How long a runner that rejected a request for lack of capacity gets no further one:
+about the time in which one of its slots becomes free. A request sent sooner wastes one
 of its attempts."""
 
 EWMA_WEIGHT = 0.2
@@ -41,15 +41,16 @@
 
 BASE_EJECTION_SECONDS = 1.0
 MAX_EJECTION_SECONDS = 8.0
-"""Bounds of the ejection time, which doubles with each further failure. A runner
-that died is removed from the store's list after some seconds, and one that restarted
-is back in about the same time. Each trial after an ejection costs a caller at most
-one retry."""
+"""Bounds of the ejection time, which doubles with each further failure. A crashed
+runner is removed from the store's list after some seconds, and a restarted one is ready
+again in about the same time. Each trial after an ejection costs a caller at most one
+retry."""
 
 PARTITION_SECONDS = 1.0
-"""How long the runners of a data centre get no requests after one of them timed out and
-none answered. One request then tries again. During a network partition this costs one
-caller per second some hundred milliseconds, instead of one caller per runner."""
+"""How long the runners of a data centre get no requests after a request to one of them
+timed out and none of them answered recently. After that, one request tries again.
+During a network partition this delays one caller per second by some hundred
+milliseconds, instead of one caller per runner."""
 
 RECENT_ANSWER_SECONDS = 1.0
 """Maximum age of an answer that shows that a data centre is reachable. At twelve
@@ -137,7 +138,7 @@
         """Apply a new or changed entry of a runner.
 
         Returns:
-            What became of the entry; one of an earlier incarnation is ignored.
+            Whether and how the entry was applied; one of an earlier incarnation isn't.
         """
         if not self._incarnations.observe(runner.incarnation):
             return EntryResult.OUTDATED
@@ -177,7 +178,7 @@
     ) -> bool:
         """Replace an ended runner by its successor before the successor is listed.
 
-        A relay that is partitioned from the store has no other way to learn of it. Once
+        A relay that is partitioned from the store can't learn of it otherwise. Once
         the list can be read again it is authoritative: a successor that stays absent
         from it for the grace period gets no more requests.
 
@@ -215,7 +216,7 @@
                 and now - view.absent_since >= self._grace_seconds
             ):
                 self._unlisted_successors.discard(view.runner.name)
-                # Counted from its absence, so it isn't kept in reserve either.
+                # Absence started the grace period, so it isn't kept in reserve either.
                 view.unlisted_at = view.absent_since
 
     def remove_runner(
@@ -247,17 +248,17 @@
 
         Runners with requests in flight stay until these have finished.
         """
-        gone = [
+        pruned = [
             view.runner
             for view in self._views.values()
             if view.unlisted_at is not None
             and now - view.unlisted_at >= self._grace_seconds
             and not view.running
         ]
-        for runner in gone:
+        for runner in pruned:
             del self._views[runner.name]
             self._remove_from_endpoint(runner)
-        return gone
+        return pruned
 
     def _remove_from_endpoint(self, runner: Runner) -> None:
         views = self._by_endpoint[runner.endpoint]
@@ -294,7 +295,12 @@
     def record_prefill_wait(
         self, view: RunnerView, seconds: float, abandoned: bool, now: float
     ) -> None:
-        """Record a prompt's wait for its first byte, and whether it was abandoned."""
+        """Record how long a prompt waited for its first byte.
+
+        Args:
+            seconds: Time from sending it to the first byte or its abandonment.
+            abandoned: Whether it was abandoned before the first byte.
+        """
         view.last_wait = seconds
         view.last_wait_at = now
         view.last_wait_abandoned = abandoned
--- a/knapweedrail/relay/selection.py
+++ b/knapweedrail/relay/selection.py
@@ -15,8 +15,8 @@
 
 RUNNING_REQUEST_TOKENS = 60.0
 """Cost of one running request in prompt tokens. Each request that a runner generates
-tokens for lengthens every step a little, which matters when few prompt tokens have to
-be prefilled."""
+tokens for makes each generation step a little longer, which matters when few prompt
+tokens have to be prefilled."""
 
 
 def choose_runner(
@@ -34,7 +34,7 @@
     Handles bursts on a few runners, one of which may be slow or failing, while load
     reports lag and all relays act on the same ones. Runners that recently failed or
     rejected a request are chosen only if no other is left: refusing requests that they
-    may be able to serve would turn the trouble of one runner into an outage.
+    may be able to serve would turn the failure of one runner into an outage.
 
     Args:
         tried: Incarnations that have already received the request.
--- a/knapweedrail/tests/test_relay_isolation.py
+++ b/knapweedrail/tests/test_relay_isolation.py
@@ -51,8 +51,8 @@
 
 
 def test_one_unreachable_data_centre_is_no_partition():
-    """One of two data centres loses power. Callers that the other one turned away would
-    find no data centre to serve them."""
+    """One of two data centres loses power. If the hosts of the other one left rotation
+    for it, no data centre would serve callers."""
     table = make_table("dc", "east")
     time_out(table, 10.0)
     assert not table.is_partitioned("dc", 10.1)
@@ -71,8 +71,9 @@
 
 
 async def test_partitioned_host_refuses_remote_only_requests_and_leaves_rotation():
-    """A data centre without engines is partitioned off. Each plan waited one second for
-    four connections to time out, and its retry came back to the same data centre."""
+    """A data centre without runners of an endpoint is partitioned. If the host tried
+    remote ones, each request would wait one second for four connections to time out,
+    and its retry would reach the same data centre again."""
     async with run_relay(make_configuration(SAFE)) as relay:
         relay.table.set_runner(make_runner("east", data_centre="east"))
         relay.table.set_runner(make_runner("west", data_centre="west"))
--- a/knapweedrail/tests/test_relay_limits.py
+++ b/knapweedrail/tests/test_relay_limits.py
@@ -40,7 +40,7 @@
 
 
 class LimitedRunner:
-    """Answers well, and states a limit in requests per second."""
+    """Answers normally, and states a limit in requests per second."""
 
     def __init__(self, rate, header):
         self.rate = rate
@@ -121,7 +121,7 @@
 
 
 def restart(fleet, per_second):
-    """Hosts restart one after another, then all at once, and some leave for good."""
+    """Hosts restart one after another, then all at once, and some stop permanently."""
     for host in list(fleet.relays)[::5]:
         fleet.start(host)
         fleet.send_for(0.3, per_second, None)
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize(("hosts", "per_second"), SIZES)
 def test_relay_that_ignores_limits_is_detected(hosts, per_second):
-    """Guards against a check that would pass with any fault."""
+    """Guards against a check that passes even if a relay exceeds the limit."""
 
     def send_to_one(fleet, per_second):
         fleet.send_for(15.0, per_second, lambda host: hosts if host == "h-0" else 1.0)
@@ -192,7 +192,7 @@
 
 
 async def test_relays_send_each_other_limits():
-    """Guards against changes of a limit that reach other relays only by chance."""
+    """Guards against changes of a limit that aren't sent to the other relays."""
     received = []
     server = make_server(
         None, lambda lines: None, None, "127.0.0.1:0", handle_limits=received.extend
--- a/knapweedrail/tests/test_relay_lives.py
+++ b/knapweedrail/tests/test_relay_lives.py
@@ -163,7 +163,8 @@
 
 async def test_late_entry_does_not_restore_a_pruned_incarnation():
     """Both incarnations of a runner have ended and the relay has pruned it. Then a
-    write of the first one is applied: requests would be sent to no process."""
+    write of the first one is applied: requests would be sent to a process that has
+    ended."""
     watched = WatchedRunners()
     watched.write("i-0", OLD)
     watched.write("i-0", NEW)
@@ -238,9 +239,9 @@
 
 
 def test_start_may_be_ahead_of_the_clock_by_seconds_but_not_a_minute():
-    """Clocks of hosts differ, and jump by seconds. A start a minute ahead was written
-    by something else, and no true incarnation of that name would be accepted until the
-    minute is over."""
+    """Clocks of hosts differ, and jump by seconds. A start a minute ahead belongs to a
+    foreign entry. If it counted, no incarnation of that runner would be accepted until
+    the minute is over."""
     clock = 1_700_000_000.0
 
     def decode(born):
@@ -274,7 +275,7 @@
 
 
 class CountingRunner:
-    """Answers well, and records the connection of each request."""
+    """Answers normally, and records the connection of each request."""
 
     def __init__(self):
         self.connections = []
@@ -306,7 +307,7 @@
 
 
 async def test_call_interrupted_by_a_restart_may_have_run():
-    """The incarnation that got the call has ended, and nobody knows whether it ran. The
+    """The incarnation that got the call has ended, and whether it ran is unknown. The
     next one rejects the same call as full, which says nothing about the first: a
     booking reported as not run would be made twice."""
     attempts = []
@@ -355,9 +356,9 @@
 async def test_broken_call_of_an_ended_incarnation_is_not_blamed_on_the_next(
     monkeypatch,
 ):
-    """A runner resets a call during an orderly shutdown, and its next incarnation is
-    gone before it serves. Taken for one incarnation, it would seem to have been crashed
-    by that call."""
+    """A runner resets a call during an orderly shutdown, and its next incarnation ends
+    before it accepts connections. If both counted as one, the call would seem to have
+    crashed the runner."""
     crashes = []
     record_crash = Suspects.record_crash
 
--- a/knapweedrail/tests/test_relay_overload.py
+++ b/knapweedrail/tests/test_relay_overload.py
@@ -43,12 +43,12 @@
     """A hash sends seventy requests per second to one small host and four to the next,
     and its loop is three tenths of a second late. Without load shedding, every
     connection to a runner there would time out, and all its callers would be refused
-    for as long as they come."""
+    for as long as the load lasts."""
     monitor = OverloadMonitor()
     now = record_delays(monitor, 0.3, 1.5)
     assert monitor.is_out_of_rotation(now)
-    refused = sum(monitor.should_shed(random.Random(n), now) for n in range(1000))
-    assert 400 < refused < 950
+    shed = sum(monitor.should_shed(random.Random(n), now) for n in range(1000))
+    assert 400 < shed < 950
     # It accepts requests again once its loop is on time, and returns to rotation after
     # the load balancer has had time to notice.
     now = record_delays(monitor, 0.001, 1.0, now)
@@ -59,7 +59,7 @@
 
 def test_stalled_process_stays_in_rotation():
     """A host freezes for five seconds. That isn't load, and taking the host out of
-    rotation would deprive its callers of it a second time."""
+    rotation would only prolong its outage."""
     monitor = OverloadMonitor()
     monitor.record_loop_delay(5.0, 10.0)
     now = record_delays(monitor, 0.001, 0.5, 10.0)
@@ -85,12 +85,12 @@
     """A caller with seventy long prompts per second is hashed to a host whose link
     carries sixty, so every packet queues behind earlier ones. Without load shedding,
     answers would arrive after ten seconds, when callers have given up, and all runners
-    would look dead from there."""
+    would seem unreachable from this host."""
     monitor = OverloadMonitor()
     now = record_connects(monitor, 0.2, 20)
     assert monitor.is_out_of_rotation(now)
-    refused = sum(monitor.should_shed(random.Random(n), now) for n in range(1000))
-    assert 300 < refused < 800
+    shed = sum(monitor.should_shed(random.Random(n), now) for n in range(1000))
+    assert 300 < shed < 800
     assert monitor.may_cause_timeouts(now)
     # With fewer requests the link's queue drains, and nothing is shed any more.
     now = record_connects(monitor, 0.003, 20, now)
@@ -108,8 +108,8 @@
 
 def test_two_unreachable_runners_are_not_a_saturated_link():
     """Two runners lose power while twenty requests are connecting to them, and all
-    other connections come from the pool. Relays that reach all other runners must not
-    turn callers away for this."""
+    other connections come from the pool. A relay that reaches all other runners must
+    not shed requests for this."""
     monitor = OverloadMonitor()
     for number in range(20):
         now = 0.25 + 0.01 * number
@@ -121,7 +121,7 @@
 @pytest.mark.anyio
 async def test_late_event_loop_does_not_eject_runners(monkeypatch):
     """The process is so busy that a connection made in a millisecond is noticed after
-    the connect timeout. If runners were ejected for it, none would be left here, and
+    the connect timeout. If runners were ejected for it, this relay would have none, and
     the next requests would be refused as if all runners were full."""
     route = make_route(RetryPolicy.SAFE)
     async with run_relay(
--- a/knapweedrail/tests/test_relay_queue_wait.py
+++ b/knapweedrail/tests/test_relay_queue_wait.py
@@ -93,13 +93,15 @@
 def test_overloaded_runner_prefills_no_abandoned_prompts():
     """A network partition leaves a data centre with one runner, which gets half again
     as many prompts as it can prefill. In an unbounded queue nearly all are prefilled
-    after their callers have timed out, and each of those callers has paid for it."""
-    before = simulate(unbounded=True, per_second=15)
-    after = simulate(unbounded=False, per_second=15)
-    assert before.wasted_prefills > 100
-    assert after.wasted_prefills == 0
-    assert len(after.first_byte_waits) > 2 * len(before.first_byte_waits)
-    assert max(after.first_byte_waits) < CALLER_TIMEOUT_SECONDS / 2
+    after their callers have timed out, and each of those callers is charged for it."""
+    unbounded_queue = simulate(unbounded=True, per_second=15)
+    bounded_queue = simulate(unbounded=False, per_second=15)
+    assert unbounded_queue.wasted_prefills > 100
+    assert bounded_queue.wasted_prefills == 0
+    assert len(bounded_queue.first_byte_waits) > 2 * len(
+        unbounded_queue.first_byte_waits
+    )
+    assert max(bounded_queue.first_byte_waits) < CALLER_TIMEOUT_SECONDS / 2
 
 
 def test_no_prompt_is_refused_when_the_runner_keeps_up():
@@ -130,7 +132,7 @@
 
 
 def test_wait_of_a_finished_long_prompt_counts_only_while_others_wait():
-    """The prefill of a long prompt took half a second at the only engine. Nothing is
+    """The prefill of a long prompt took half a second at the only runner. Nothing is
     queued there any more, so the next caller must not be refused."""
     table = RunnerTable(grace_seconds=1.9)
     table.set_runner(make_runner("i-0"))
@@ -151,8 +153,9 @@
 
 
 async def test_prompt_that_cannot_start_in_time_is_refused_at_once():
-    """The only runner is far behind. Without this, a caller waits for its whole
-    deadline, and its account pays for a prompt that was never prefilled."""
+    """The only runner has a long queue. If the prompt joined it, the caller would wait
+    until its deadline, and its account would pay for a prompt that was never
+    prefilled."""
 
     async def hang(stream, head):
         await anyio.sleep(30)
--- a/knapweedrail/tests/test_relay_selection.py
+++ b/knapweedrail/tests/test_relay_selection.py
@@ -42,7 +42,7 @@
 
 
 def test_relays_choose_the_same_runner_for_a_shared_prefix():
-    """Many callers ask about one farm. Every further runner that prefills its history
+    """Many prompts are about one farm. Every further runner that prefills its history
     spends the time of the whole prompt on it."""
     requests = [make_request("base", "farm-7", f"own-{n}") for n in range(20)]
     names = {
@@ -66,11 +66,11 @@
 
 
 def test_removing_a_runner_moves_only_its_own_prefixes():
-    parts = [make_request("base", f"farm-{n}", "own") for n in range(200)]
-    before = [choose(make_table(), request).runner.name for request in parts]
+    requests = [make_request("base", f"farm-{n}", "own") for n in range(200)]
+    before = [choose(make_table(), request).runner.name for request in requests]
     table = make_table()
     table.remove_runner("i-3", 0.0)
-    after = [choose(table, request).runner.name for request in parts]
+    after = [choose(table, request).runner.name for request in requests]
     moved = [b for b, a in zip(before, after) if a != b]
     assert set(moved) == {"i-3"}
 
@@ -140,7 +140,7 @@
 
 
 def test_an_ejected_runner_is_used_when_all_are_ejected():
-    """All runners failed a moment ago. Refusing all callers would turn a short failure
+    """All runners failed recently. Refusing all callers would turn a short failure
     into an outage."""
     table = make_table(count=2)
     for name in ("i-0", "i-1"):
@@ -149,8 +149,8 @@
 
 
 def test_unreachable_data_centre_is_avoided_for_a_while():
-    """A network partition cuts off a data centre. Without this, each of its runners
-    would cost a caller a timeout."""
+    """A network partition makes a data centre unreachable. If its runners still got
+    requests, each would cost a caller a timeout."""
     table = make_table(count=6)
     view = find_view(table, "i-1")
     assert table.record_timeout(view, 10.0)
@@ -183,7 +183,7 @@
 
 def test_unlisted_runners_are_used_during_the_grace_period():
     """The entries of healthy runners expired while the store was unavailable. Treating
-    these runners as gone would refuse all callers."""
+    these runners as removed would refuse all callers."""
     table = make_table(count=3)
     table.replace_all([], 100.0)
     assert choose(table, make_request(), now=101.0) is not None
@@ -201,17 +201,17 @@
 def test_retries_stay_within_the_share_of_the_relay():
     """All runners fail. Retrying every request would double the load on runners that
     fail because of overload."""
-    share = RetryBudget(ratio=0.2, reserve=50.0, window=10.0)
+    budget = RetryBudget(ratio=0.2, reserve=50.0, window=10.0)
     allowed = 0
     for n in range(1000):
-        share.record_request("e", n * 0.01)
-        allowed += share.try_acquire("e", relays=5, now=n * 0.01)
+        budget.record_request("e", n * 0.01)
+        allowed += budget.try_acquire("e", relays=5, now=n * 0.01)
     assert allowed <= 0.2 * 1000 + 50 / 5
     assert allowed >= 0.7 * (0.2 * 1000 + 50 / 5)
 
 
 def test_retry_budget_refills_over_time():
-    share = RetryBudget(ratio=0.0, reserve=10.0, window=10.0)
-    assert sum(share.try_acquire("e", 1, 0.0) for _ in range(20)) == 8
-    assert not share.try_acquire("e", 1, 9.0)
-    assert share.try_acquire("e", 1, 10.5)
+    budget = RetryBudget(ratio=0.0, reserve=10.0, window=10.0)
+    assert sum(budget.try_acquire("e", 1, 0.0) for _ in range(20)) == 8
+    assert not budget.try_acquire("e", 1, 9.0)
+    assert budget.try_acquire("e", 1, 10.5)
