--- a/knapweedrail/relay/codecs.py
+++ b/knapweedrail/relay/codecs.py
@@ -35,8 +35,8 @@
             request: The caller's request.
             runner: The runner that gets it.
             account: Name of the client account; ``None`` without one.
-            seconds: Remaining time that the caller will wait.
-            priority: Urgency for the runner's queue; ``None`` keeps its default.
+            seconds: Time for which the caller will still wait, seconds.
+            priority: Priority in the runner's queue; ``None`` keeps the default.
             body_bytes: Length of the body; ``None`` for a request without one.
             last_event: Number of the last event received, to resume a stream;
                 ``None`` otherwise.
@@ -57,7 +57,7 @@
 
     @abstractmethod
     def decode_report(self, status: int, body: bytes) -> RunnerReport | None:
-        """Decode a report; ``None`` if it isn't from an engine."""
+        """Decode a runner's report; ``None`` if it doesn't come from an engine."""
 
     @abstractmethod
     def encode_refusal(self, identity: str, retry_after: float | None) -> Headers:
--- a/knapweedrail/relay/links.py
+++ b/knapweedrail/relay/links.py
@@ -63,7 +63,7 @@
 class SourceLink(ABC):
     """A subscriber's link to a source. Its calls raise `LinkLostError`.
 
-    The subscriber sends a request first; there is no reply before.
+    The source sends no reply before the subscriber's first request.
     """
 
     @abstractmethod
@@ -92,4 +92,4 @@
 
     @abstractmethod
     def dial(self, member: Member) -> AbstractAsyncContextManager[SourceLink]:
-        """Open a link; an unreachable relay may only be noticed in the first call."""
+        """Open a link; a failure to connect may only be raised by its first call."""
--- a/knapweedrail/relay/malformed.py
+++ b/knapweedrail/relay/malformed.py
@@ -9,16 +9,16 @@
 from ..events import Event, log_event
 
 MAX_REMEMBERED_OBJECTS = 1000
-"""Objects that are remembered as recorded; the oldest are dropped first."""
+"""Objects whose last recorded revision is kept; the oldest are dropped first."""
 
 MAX_LOG_LINES = 20
 LOG_WINDOW_SECONDS = 10.0
-"""Most log lines in a window of time. A faulty writer may write all entries again and
-again, and the lines on them would displace those on the outcomes of requests. The
-counter isn't limited."""
+"""Maximum number of log lines in a window of time. A faulty writer may write all
+entries repeatedly, and the lines on them would displace those on the outcomes of
+requests. The counter isn't limited."""
 
 MAX_NAME_CHARACTERS = 100
-"""Characters of a name that are logged."""
+"""Length to which a name is truncated in the log."""
 
 
 class MalformedObjects:
@@ -42,7 +42,8 @@
         Args:
             kind: Kind of the object.
             name: Name of the object.
-            revision: Revision of its last change; a further list returns the same one.
+            revision: Revision of its last change. Each list returns an unchanged object
+                with the same one.
             error: What is wrong with it.
             now: Monotonic seconds.
         """
--- a/knapweedrail/relay/members.py
+++ b/knapweedrail/relay/members.py
@@ -24,14 +24,14 @@
 MEMBER_KIND = "relay-members"
 
 LIST_SECONDS = 5.0
-"""Pause between lists of the relays. Relays join and leave within seconds, but whoever
-calls a relay that is gone tries the next one. The list may be stale, which costs a
-tenth of a call."""
+"""Pause between lists of the relays. Relays join and leave within seconds, but a caller
+that doesn't reach a relay which has left tries the next one. Therefore a list that may
+be stale suffices, which costs a tenth of a call."""
 
 MAX_RELAYS_AT_BASE_INTERVAL = 100
-"""Number of relays above which the pause grows in proportion. An entry takes 231 bytes;
-500 of them every five seconds would use all of the 23 KB/s that a host has for control
-traffic."""
+"""Number of relays above which the pause grows in proportion to their number. An entry
+takes 231 bytes; 500 of them every five seconds would use all of the 23 KB/s that a host
+has for control traffic."""
 
 SETTLE_SECONDS = 1.0
 """Pause before each list that a relay waits for if its host wasn't registered before.
@@ -66,11 +66,11 @@
     """Return the relays ranked as primaries of an account.
 
     If many relays that each see few requests of an account drew on the ledger
-    themselves, each would hold the tokens of a largest request. Together this is more
-    than a small account has, and the ledger would be written more often than it can
-    bear. Therefore only the first relay of each data centre, the primary, draws on the
-    ledger for its data centre. All relays rank by the same rendezvous hash, without
-    coordination.
+    themselves, each would hold the tokens of one request of the largest size. Together
+    this is more than a small account has, and the ledger would be written more often
+    than it supports. Therefore only the first relay of each data centre, the primary,
+    draws on the ledger for its data centre. All relays rank by the same rendezvous
+    hash, without coordination.
     """
     return sorted(members, key=lambda member: hash_pair(account, member.host))
 
@@ -84,7 +84,7 @@
         account: Name of the client account.
         members: All relays.
         data_centre: Data centre of the borrower.
-        holder: Holder of the borrower, which is left out.
+        holder: Holder of the borrower, which is skipped.
     """
     first: dict[str, Member] = {}
     local: list[Member] = []
@@ -109,7 +109,7 @@
     Attributes:
         member: This relay.
         settled: Whether relays that started at the same time are known.
-        first_listed: Set after the first list.
+        first_listed: Set once the relays have been listed for the first time.
     """
 
     def __init__(
@@ -192,7 +192,7 @@
         return standing if self.settled else attrs.evolve(standing, sends=False)
 
     def update_incarnation(self, known: Member, holder: str) -> None:
-        """Record that another incarnation of a relay answered than the known one."""
+        """Record that an answer came from another incarnation than the known one."""
         if self._members.get(known.host) == known:
             self._members[known.host] = attrs.evolve(known, holder=holder)
 
@@ -243,12 +243,12 @@
 
         Before that, each relay would assume that it is the only one.
         """
-        shown = 0
+        confirming_lists = 0
         for _ in range(MAX_STALE_LISTS):
             await anyio.sleep(SETTLE_SECONDS)
             if await self._refresh(stale=True) and self._own_entry_listed:
-                shown += 1
-            if shown == LISTS_UNTIL_SETTLED:
+                confirming_lists += 1
+            if confirming_lists == LISTS_UNTIL_SETTLED:
                 return
         while not await self._refresh(stale=False):
             await anyio.sleep(RETRY_SECONDS)
@@ -305,8 +305,8 @@
         """Return the relay that an entry describes, or its last known valid state.
 
         A relay whose entry another writer overwrites remains a member. Without it, the
-        number of relays would be too low, by which each relay computes its share of the
-        retries of all.
+        number of relays would be too low, from which each relay computes its share of
+        the retries that the fleet may make together.
         """
         try:
             return decode_member(stored.name, stored.spec)
--- a/knapweedrail/relay/peers.py
+++ b/knapweedrail/relay/peers.py
@@ -1,7 +1,7 @@
 """Client and server of the gRPC calls between relays.
 
-Relays lend each other tokens, and report requests that crash runners and limits of
-runners.
+Relays lend each other tokens, and report to each other which requests crash runners and
+which limits runners have.
 """
 
 from __future__ import annotations
@@ -48,9 +48,9 @@
 MIN_BACKOFF_SECONDS = 2.0
 MAX_BACKOFF_SECONDS = 8.0
 """Backoff after a call that a relay didn't answer. The first one is about the time in
-which a dead relay is replaced. It doubles with each failure, as the list keeps relays
-that never return. The maximum lets a fleet serve again within some twelve seconds after
-a loss of hosts."""
+which a crashed relay is replaced. It doubles with each failure, as the list keeps
+relays that never return. The maximum lets a fleet serve again within about twelve
+seconds after a loss of hosts."""
 
 SHORTAGE_CACHE_SECONDS = 0.5
 """How long a relay that lacked tokens of an account isn't asked for them again. With a
@@ -75,7 +75,7 @@
         lender: Holder that lends; no other holder may take tokens back for it.
         needed: Tokens for waiting requests.
         wanted: Tokens to last for a while, including those needed.
-        returned: Total returned to the lender.
+        returned: Total of tokens returned to the lender.
         spent: Total spent of the tokens that the lender lent.
     """
 
@@ -94,7 +94,7 @@
 
     Attributes:
         lender: Holder that answers.
-        total: Total lent to the borrower so far, not only by this call.
+        total: Total of tokens lent to the borrower so far, not only by this call.
         shortage: Why less was lent than needed; ``None`` if enough was.
     """
 
@@ -128,7 +128,7 @@
 }
 
 SuspectsHandler = Callable[[list[str]], None]
-"""Handles another relay's report of requests that ran on runners that crashed."""
+"""Handles another relay's report of requests that ran on crashed runners."""
 
 LimitsHandler = Callable[[list[LimitNews]], None]
 """Handles another relay's report of limits of runners."""
@@ -175,7 +175,13 @@
     def find_recent_shortage(
         self, member: Member, account: str, now: float
     ) -> Shortage | None:
-        """Return why a relay recently lacked tokens of an account, if it did."""
+        """Return why a relay recently lacked tokens of an account, or ``None``.
+
+        Args:
+            member: The relay.
+            account: Name of the client account.
+            now: Monotonic seconds.
+        """
         until, shortage = self._recent_shortages.get(
             (member.address, account), (0.0, None)
         )
@@ -210,7 +216,7 @@
         self._backoffs[member.address] = Backoff(member.holder, failures, now + pause)
 
     async def send_suspects(self, members: list[Member], lines: list[str]) -> None:
-        """Report requests that ran on runners that crashed to other relays."""
+        """Report to other relays which requests ran on crashed runners."""
         request = SuspectsRequest(lines=lines[:MAX_ENTRIES_PER_CALL])
         async with anyio.create_task_group() as group:
             for member in members[:MAX_SUSPECT_RECIPIENTS]:
@@ -219,7 +225,7 @@
                 )
 
     async def send_limits(self, members: list[Member], limits: list[LimitNews]) -> None:
-        """Report changed limits of runners to other relays."""
+        """Report to other relays which limits of runners have changed."""
         entries = [
             RunnerLimit(**attrs.asdict(limit))
             for limit in limits[:MAX_ENTRIES_PER_CALL]
@@ -246,6 +252,12 @@
         and the task stays marked as cancelled. Without a separate task, an enclosing
         cancel scope of the caller would then end with a cancellation instead of
         continuing.
+
+        Args:
+            member: The relay to call.
+            method: Name of the RPC.
+            request: Its request message.
+            seconds: Timeout, seconds.
         """
         replies: list[Any] = []
         async with anyio.create_task_group() as group:
--- a/knapweedrail/relay/replicas.py
+++ b/knapweedrail/relay/replicas.py
@@ -20,17 +20,17 @@
 from .stores import Change, StoredObject, Unreadable
 
 MAX_REMOVED_OBJECTS = 1000
-"""Removed objects that are remembered. A subscriber whose revision is older than the
-oldest remembered removal gets the whole list."""
+"""Removals that are kept for later updates. A subscriber that may lack a removal which
+is no longer kept gets the whole list."""
 
 LARGE_OBJECT_BYTES = 2048
-"""Encoded size from which an object is sent as a patch. Entries of runners take a few
-hundred bytes, configurations tens of thousands and more."""
+"""Smallest encoded size of an object whose changes are sent as patches. Entries of
+runners take a few hundred bytes, configurations tens of thousands and more."""
 
 MAX_UPDATE_BYTES = 32_768
-"""Largest object or sum of patches in an update. One relay of a data centre serves some
-eighty others over a link of one megabyte a second. The link of the store is a hundred
-times as fast, so subscribers fetch larger objects there."""
+"""Largest object or sum of patches in an update. One relay of a data centre serves
+about eighty others over a link of one megabyte a second. The link of the store is a
+hundred times as fast, so subscribers fetch larger objects there."""
 
 MAX_PATCHES = 32
 """Patches kept for one object."""
@@ -52,7 +52,7 @@
 
     Attributes:
         name: Name of the object.
-        revision: Revision of its last change.
+        revision: Revision of the object's last change.
         form: How the change is represented.
         value: The object's content, or its last content if it was removed; a list of
             patches, oldest first, if patched; ``None`` if too large or unreadable.
@@ -157,7 +157,7 @@
             return []
         if update.since > self.revision:
             raise UpdateRejectedError(
-                f"update starts from revision {update.since}, after the replica's",
+                f"update starts from revision {update.since}, newer than the replica",
                 needs_fetch=False,
             )
         found = [self._decode_item(item) for item in update.items]
--- a/knapweedrail/relay/sources.py
+++ b/knapweedrail/relay/sources.py
@@ -5,8 +5,8 @@
 If each of hundreds of relays watched the store, most watches would return the same
 changes. Instead a few relays, the sources, watch the store and send updates to the
 others. All relays choose the same sources by a hash of the host names, without
-coordination. Each relay subscribes to two sources, so that the loss of one has no
-effect. A relay that has subscribers watches the store, and so does one whose sources
+coordination. Each relay subscribes to two sources, so that the loss of one delays no
+update. A relay that has subscribers watches the store, and so does one whose sources
 don't answer.
 """
 
@@ -23,8 +23,8 @@
 """Sources that each relay subscribes to."""
 
 MIN_LOCAL_RELAYS = 8
-"""Number of relays from which a data centre has a source of its own. Below it, two
-sources for all data centres together cause fewer store calls."""
+"""Smallest number of relays for which a data centre has a source of its own. Below it,
+two sources for all data centres together cause fewer store calls."""
 
 _HASH_KEY = "store-news"
 
@@ -50,7 +50,7 @@
         member: The relay that is the source.
         last_reply_at: Time of its last reply, seconds.
         confirmed_at: By kind, a time up to which all writes that the store
-            acknowledged are known here, seconds.
+            acknowledged have been applied here, seconds.
     """
 
     member: Member
@@ -66,8 +66,9 @@
 
         Args:
             kind: The kind of objects.
-            asked_at: When the request was made that the source answers, by this
-                relay's clock, so that a delayed reply confirms nothing later.
+            asked_at: Time of the request that the source answers, by this relay's
+                clock, seconds. The time of receipt would be too late for a reply that
+                was delayed.
             age: Time since the store last confirmed the source's state, seconds.
         """
         known = self.confirmed_at.get(kind, float("-inf"))
--- a/knapweedrail/relay/store_probe.py
+++ b/knapweedrail/relay/store_probe.py
@@ -22,9 +22,9 @@
 class StoreProbe:
     """Detects for all watchers of a relay that the store is available again.
 
-    A store that recovers doesn't answer the calls that it accepted before, so waiting
-    calls are abandoned then. One watcher probes with a read that may be stale and costs
-    a tenth of a call.
+    A store that recovers doesn't answer the calls that it accepted before its outage,
+    so pending calls are abandoned then. One watcher probes with a read that may be
+    stale and costs a tenth of a call.
 
     Args:
         store: The store.
@@ -43,7 +43,7 @@
 
     @contextlib.contextmanager
     def abandon_on_recovery(self) -> Iterator[None]:
-        """Run a call that is abandoned when the store is found available again."""
+        """Run a call that is abandoned once a probe finds the store available again."""
         with anyio.CancelScope() as scope:
             self._abandonable_calls.add(scope)
             try:
@@ -81,7 +81,7 @@
         return None
 
     def _draw_backoff(self, waited: float) -> float:
-        """Return the pause after a failed call, less the call's own duration.
+        """Return the pause after a failed call, less the call's own duration, seconds.
 
         Args:
             waited: Duration of the call, seconds.
--- a/knapweedrail/relay/stores.py
+++ b/knapweedrail/relay/stores.py
@@ -64,7 +64,7 @@
 
     Attributes:
         objects: The objects.
-        revision: Revision of the store that the list shows.
+        revision: Revision of the store as of which the objects are listed.
     """
 
     objects: tuple[StoredObject, ...]
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True)
 class HistoryGone:
-    """The store has compacted the changes since a revision; list the kind again."""
+    """The store has compacted the changes after a revision; list the kind again."""
 
 
 WriteOutcome = Written | Conflict | Missing | Unavailable | Unknown
--- a/knapweedrail/relay/suspects.py
+++ b/knapweedrail/relay/suspects.py
@@ -13,7 +13,7 @@
 
 CRASH_LIMIT = 3
 """Crashed runners after which a request is refused. One crash makes every request on
-the runner a suspect, but the same content on three crashed runners is no
+the runner a suspect, but the same content on three crashed runners is unlikely to be a
 coincidence."""
 
 CRASH_CONFIRM_SECONDS = 3.0
@@ -29,7 +29,7 @@
 
 
 def make_fingerprint(account: str, method: str, target: bytes, body: bytes) -> str:
-    """Return the same text for a request and its repetitions by the caller."""
+    """Return a digest that is the same each time the caller sends a request again."""
     digest = blake2b(digest_size=10)
     for part in (account.encode(), method.encode(), target, body):
         digest.update(b"%d:" % len(part))
@@ -41,8 +41,8 @@
     """Requests that were running on runners that crashed.
 
     A request may crash every runner that runs it, while its caller sends it again to
-    any relay under a new identity each time. Without a limit, it would take down all
-    runners one after another, together with the answers to other callers on them.
+    any relay under a new identity each time. Without a limit, it would crash all
+    runners one after another, and the requests of other callers on them would fail.
     """
 
     def __init__(self) -> None:
@@ -57,8 +57,8 @@
         """Record that a runner closed the connection of a request that may have run.
 
         Args:
-            runner: The runner's incarnation. Each crashed incarnation counts, and is
-                only matched with requests that it broke itself.
+            runner: The runner's incarnation. Each crashed incarnation counts, and only
+                requests whose connections it closed itself are attributed to it.
             fingerprint: Fingerprint of the request.
             now: Time, seconds.
         """
--- a/knapweedrail/relay/update_feed.py
+++ b/knapweedrail/relay/update_feed.py
@@ -35,11 +35,11 @@
 
 SUBSCRIBER_TIMEOUT_FACTOR = 3.0
 """Multiple of the source timeout after which a subscriber without heartbeats is
-dropped. Its process may only be paused, and continues when it is resumed."""
+dropped. The factor lets a subscriber whose process was paused continue on its link."""
 
 FIRST_LIST_WAIT_SECONDS = 0.5
 """Longest wait of a starting relay for the list of relays before it watches the store
-itself: as long as some tens of the store's answers take."""
+itself: about the duration of a few tens of store calls."""
 
 FLEET_START_WAIT_SECONDS = 8.0
 """Wait before a relay watches the store itself if the whole fleet starts for the first
@@ -138,10 +138,10 @@
             delays.append(self._started_at + FLEET_START_WAIT_SECONDS - now)
         if self._membership.count > 1:
             # After a power loss of all hosts, the sources start at the same time as
-            # this relay. They come up during this wait.
+            # this relay. The wait gives them time to answer.
             delays.append(self._started_at + self._timing.timeout - now)
         if any(self._membership.list_sources()):
-            # A source notices the recovery of the store at the same time and sends an
+            # A source detects the recovery of the store at the same time and sends an
             # update.
             delays.append(self._available_at + self._timing.heartbeat_interval - now)
         return max(delays, default=0.0)
@@ -286,12 +286,12 @@
                     await self._send_heartbeats(slot, link, source, source_lost)
                     group.cancel_scope.cancel()
         if source_lost.is_set():
-            unheard = round(time.monotonic() - source.last_reply_at, 3)
+            reply_age = round(time.monotonic() - source.last_reply_at, 3)
             log_event(
                 Event.SOURCE_LOST,
                 slot=slot,
                 source=source.member.holder,
-                unheard=unheard,
+                unheard=reply_age,
             )
 
     async def _send_heartbeats(
@@ -313,8 +313,8 @@
             for kind, receiver in self._receivers.items()
         }
         try:
-            # The first request opens the connection, which a host without power never
-            # answers.
+            # The first request opens the connection. A host without power never answers
+            # the attempt.
             with anyio.fail_after(self._timing.heartbeat_interval):
                 await link.send(FeedRequest(time.monotonic(), revisions))
         except (LinkLostError, TimeoutError):
@@ -344,8 +344,9 @@
         """Apply a source's update of one kind.
 
         Raises:
-            UpdateRejectedError: If it can't be applied to the local replica.
-            ValueError: If it can't be decoded.
+            UpdateRejectedError: If it can't be applied to the local replica, and no
+                read from the store is pending that would replace it.
+            ValueError: If its items can't be decoded.
         """
         receiver = self._receivers.get(update.kind)
         if receiver is None:
--- a/knapweedrail/relay/watchers.py
+++ b/knapweedrail/relay/watchers.py
@@ -23,8 +23,8 @@
 from .stores import Change, Changes, HistoryGone, Listing, Store, StoredObject
 
 CONFIRMATION_MARGIN_SECONDS = 1.0
-"""Seconds after the end of a watch within which the store must have confirmed what is
-known: the delay of the answer, the pause before the next call, and a margin of half a
+"""Time after the end of a watch by which the store must have confirmed the known state:
+the delay of the answer, the pause before the next call, and a margin of half a
 second."""
 
 
@@ -75,7 +75,7 @@
 
     @property
     def fetching(self) -> bool:
-        """Whether the store must be read before updates of other relays apply."""
+        """Whether the store must be read before updates of peers can be applied."""
         return self.replica.revision < self._needed_revision
 
     async def run(self) -> None:
@@ -177,13 +177,17 @@
 
     def _record_availability(self, available: bool, detail: str, waited: float) -> None:
         if available != self._store_available:
-            unheard = time.monotonic() - self.confirmed_at
+            confirmation_age = time.monotonic() - self.confirmed_at
             log_event(
                 Event.PLATFORM_BACK if available else Event.PLATFORM_AWAY,
                 step=self.name,
                 detail=detail,
                 waited=round(waited, 3),
-                unheard=round(unheard, 3) if math.isfinite(unheard) else None,
+                unheard=(
+                    round(confirmation_age, 3)
+                    if math.isfinite(confirmation_age)
+                    else None
+                ),
             )
         self._store_available = available
 
@@ -195,7 +199,7 @@
         """
 
     def record_malformed(self, stored: StoredObject, error: ValueError) -> None:
-        """Record that an object can't be decoded."""
+        """Record that an object can't be used."""
         self._malformed.record(
             self._kind, stored.name, stored.revision, str(error), time.monotonic()
         )
@@ -308,7 +312,7 @@
         log_event(Event.CONFIGURATION_REMOVED, name=stored.name)
 
 
-_READING_EVENTS = {
+_ENTRY_EVENTS = {
     EntryResult.APPLIED: Event.RUNNER_LISTED,
     EntryResult.RESTARTED: Event.RUNNER_RESTARTED,
     EntryResult.OUTDATED: Event.RUNNER_OUTDATED,
@@ -347,10 +351,10 @@
         )
         self.table = table
         self._decode_runner = decode
-        self._start_reports = StartTimeTracker()
+        self._start_times = StartTimeTracker()
 
     def replace_all(self, objects: tuple[StoredObject, ...]) -> None:
-        self._start_reports.retain({stored.name for stored in objects})
+        self._start_times.retain({stored.name for stored in objects})
         found = [(stored, self._decode(stored)) for stored in objects]
         runners = [runner for stored, runner in found if self._accepts(stored, runner)]
         self.table.replace_all(runners, time.monotonic())
@@ -365,7 +369,7 @@
             self.table.remove_runner(stored.name, time.monotonic())
             return
         log_event(
-            _READING_EVENTS[self.table.set_runner(runner)],
+            _ENTRY_EVENTS[self.table.set_runner(runner)],
             runner=runner.name,
             started=runner.started,
             endpoint=runner.endpoint,
@@ -377,7 +381,7 @@
         self.table.mark_successors_absent(now)
 
     def remove(self, stored: StoredObject) -> None:
-        self._start_reports.discard(stored.name)
+        self._start_times.discard(stored.name)
         started = self._decode_start(stored)
         self.table.remove_runner(stored.name, time.monotonic(), started)
         log_event(Event.RUNNER_UNLISTED, runner=stored.name, revision=stored.revision)
@@ -385,15 +389,19 @@
     def _accepts(self, stored: StoredObject, runner: Runner | None) -> bool:
         if runner is None:
             return False
-        if not self._start_reports.accepts(runner.started):
+        if not self._start_times.accepts(runner.started):
             self.record_malformed(
-                stored, ValueError("start time is missing, which other entries have")
+                stored,
+                ValueError("start time is missing, but most other entries have one"),
             )
             return False
         return True
 
     def _decode_start(self, stored: StoredObject) -> int:
-        """Return the start time that a removed entry named, Unix milliseconds."""
+        """Return the start time in a removed entry, Unix milliseconds.
+
+        Returns `UNKNOWN_START` if the entry can't be decoded.
+        """
         try:
             return self._decode_runner(stored.name, stored.spec).started
         except ValueError:
@@ -403,8 +411,8 @@
         try:
             runner = self._decode_runner(stored.name, stored.spec)
         except ValueError as error:
-            self._start_reports.discard(stored.name)
+            self._start_times.discard(stored.name)
             self.record_malformed(stored, error)
             return None
-        self._start_reports.record(stored.name, runner.started)
+        self._start_times.record(stored.name, runner.started)
         return runner
--- a/knapweedrail/tests/test_relay_followers.py
+++ b/knapweedrail/tests/test_relay_followers.py
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("seconds", [0.1, 2.4, 5.2])
 async def test_watch_lost_in_outage_is_replaced_in_time(bounds, seconds):
     """Guards against stale configurations and runners after an outage of the store: a
-    watch that started before or in the outage waits for an answer that never comes."""
+    watch that started before or during the outage waits for an answer that is lost."""
     async with run_store_and_watchers(*bounds) as fixture:
         await fixture.drop_calls(seconds)
         fixture.write()
--- a/knapweedrail/tests/test_relay_foreign.py
+++ b/knapweedrail/tests/test_relay_foreign.py
@@ -278,8 +278,8 @@
 @pytest.mark.parametrize("spec", UNREADABLE)
 def test_unparsable_object_does_not_affect_others_on_the_page(spec):
     """Guards against rejecting a whole page for one entry that no parser accepts. The
-    store would count as unavailable, and every relay would keep the runners that it
-    knew before."""
+    store would count as unavailable, and every relay would keep using its last list of
+    runners."""
     items = [
         make_object(b"a", VALID_SPEC),
         make_object(b"b", spec),
@@ -337,14 +337,14 @@
     time must not exclude the others."""
     listed = WatchedRunners()
     started = {f"t{number}": OLD for number in range(with_start)}
-    without_born = [f"s{number}" for number in range(without_start)]
+    names_without_start = [f"s{number}" for number in range(without_start)]
     entries = [listed._store(name, make_entry(OLD)) for name in started]
-    for name in without_born:
+    for name in names_without_start:
         spec = make_entry(OLD)
         del spec["born"]
         entries.append(listed._store(name, spec))
     listed.watcher.replace_all(tuple(entries))
-    assert {life.name for life in listed.table.list_incarnations()} == used
+    assert {runner.name for runner in listed.table.list_incarnations()} == used
 
 
 async def test_watcher_continues_among_foreign_entries():
--- a/knapweedrail/tests/test_relay_news.py
+++ b/knapweedrail/tests/test_relay_news.py
@@ -133,7 +133,7 @@
 
 
 def test_isolated_relays_watch_the_store_themselves():
-    """Guards against relays that need each other though they reach only the store."""
+    """Guards against relays that depend on peers when they can only reach the store."""
 
     async def scenario(fleet):
         fleet.part(set(fleet.hosts), set(fleet.hosts))
@@ -322,7 +322,7 @@
 
 
 def test_check_detects_a_source_that_drops_changes(monkeypatch):
-    """Guards against a check that wouldn't notice changes that are never sent."""
+    """Guards against a check that misses changes which are never sent."""
     monkeypatch.setattr(Replica, "encode_changes", lambda self, since: b"")
 
     async def scenario(fleet):
@@ -333,7 +333,7 @@
 
 
 def test_check_detects_watches_longer_than_their_bound(monkeypatch):
-    """Guards against a check that wouldn't notice delays that add up."""
+    """Guards against a check that misses delays which add up."""
     longer = property(lambda settings: 9.0)
     monkeypatch.setattr(RelaySettings, "configuration_watch_seconds", longer)
     monkeypatch.setattr(RelaySettings, "runner_watch_seconds", longer)
--- a/knapweedrail/tests/test_relay_replicas.py
+++ b/knapweedrail/tests/test_relay_replicas.py
@@ -32,19 +32,19 @@
         self.revision += 1
         spec = {"value": value} | ({"padding": PADDING} if large else {})
         self.objects[name] = StoredObject(name, self.revision, spec)
-        self._note(Change(self.objects[name], removed=False))
+        self._record(Change(self.objects[name], removed=False))
 
     def remove(self, name):
         if name in self.objects:
             self.revision += 1
-            self._note(Change(self.objects.pop(name), removed=True))
+            self._record(Change(self.objects.pop(name), removed=True))
 
     def write_other_kind(self):
         """Change an object of another kind."""
         self.revision += 1
         self.states[self.revision] = dict(self.objects)
 
-    def _note(self, change):
+    def _record(self, change):
         self.events.append((self.revision, change))
         self.states[self.revision] = dict(self.objects)
 
@@ -120,7 +120,7 @@
 
 
 def test_check_detects_a_dropped_change(monkeypatch):
-    """Guards against a check that wouldn't notice a source that loses a change."""
+    """Guards against a check that misses a source which loses a change."""
     encode_changes = Replica.encode_changes
 
     def drop(self, since):
@@ -206,7 +206,7 @@
 
 
 def test_subscriber_older_than_removal_history_gets_full_list(monkeypatch):
-    """Guards against removed objects that stay at a long absent subscriber."""
+    """Guards against removed objects that a subscriber keeps after a long absence."""
     monkeypatch.setattr(replicas, "MAX_REMOVED_OBJECTS", 2)
     names = ["a", "b", "c", "d"]
     source, subscriber = Replica("k"), Replica("k")
--- a/knapweedrail/tests/test_relay_sources.py
+++ b/knapweedrail/tests/test_relay_sources.py
@@ -92,7 +92,7 @@
 
 
 def test_delayed_reply_does_not_extend_validity():
-    """Guards against old updates that count as new on a host that was paused."""
+    """Guards against stale updates that count as current on a host that was paused."""
     source = Source(make_fleet(1)[0], last_reply_at=100.0)
     source.record_confirmation("k", asked_at=90.0, age=3.0)
     source.record_reply(100.0)
--- a/knapweedrail/tests/test_relay_suspects.py
+++ b/knapweedrail/tests/test_relay_suspects.py
@@ -18,7 +18,7 @@
 
 def test_request_that_crashes_runners_is_refused_at_all_relays():
     """Guards against a caller that sends the same request to one relay after another
-    and crashes a runner each time, together with the work of others on it."""
+    and crashes a runner each time, so that other callers' requests on it fail too."""
     relays = [Suspects() for _ in range(3)]
     for number in range(CRASH_LIMIT):
         lines = crash(relays[number], f"i-{number}", ["bad", f"other-{number}"], number)
