--- a/knapweedrail/platform/clients.py
+++ b/knapweedrail/platform/clients.py
@@ -12,11 +12,11 @@
 
 ANSWER_SECONDS = 1.0
 """Timeout of a call that is answered immediately. The store usually answers within
-milliseconds, and a slow store within some hundreds of them."""
+milliseconds, and a slow store within some hundreds of milliseconds."""
 
 CONNECT_SECONDS = 0.3
-"""Timeout of a connection attempt. A lost first packet is sent again only after a
-second, so a new attempt notices sooner that a network partition has ended."""
+"""Timeout of a connection attempt. A lost SYN packet is retransmitted only after a
+second, so a new attempt detects the end of a network partition sooner."""
 
 MAX_CONNECTIONS = 8
 """Connections to the store: a few for long-polling watches, the rest for calls."""
@@ -26,7 +26,7 @@
 
 
 def make_timeout(seconds: float) -> httpx.Timeout:
-    """Return the timeouts of a call whose answer may take that many seconds."""
+    """Return the timeouts of a call whose answer may take up to ``seconds``."""
     return httpx.Timeout(seconds, connect=CONNECT_SECONDS)
 
 
--- a/knapweedrail/platform/converters.py
+++ b/knapweedrail/platform/converters.py
@@ -17,7 +17,7 @@
 
 
 def require_number(value: Any, _: object = None) -> float:
-    """Return a number unchanged; booleans are rejected, though Python counts them.
+    """Return a number unchanged; booleans are rejected, although bool subclasses int.
 
     Raises:
         TypeError: If the value isn't a number.
--- a/knapweedrail/platform/decoding.py
+++ b/knapweedrail/platform/decoding.py
@@ -20,7 +20,7 @@
 from .entries import DRAINING, READY, parse_entry
 from .start_times import decode_start_time
 
-_REPETITIONS = {
+_RETRY_POLICIES = {
     "safe": RetryPolicy.SAFE,
     "unsafe": RetryPolicy.ONCE,
     "streaming": RetryPolicy.STREAM,
@@ -101,7 +101,7 @@
         name=item["name"],
         host=item["host"].lower(),
         prefix=item["pathPrefix"],
-        retry_policy=_REPETITIONS.get(item.get("kind"), RetryPolicy.ONCE),
+        retry_policy=_RETRY_POLICIES.get(item.get("kind"), RetryPolicy.ONCE),
         timeout=item["timeoutMs"] / 1000,
         objective=item.get("latencyGoalMs", item["timeoutMs"]) / 1000,
         gap=(item.get("gapAimMs") or 0) / 1000,
--- a/knapweedrail/platform/entries.py
+++ b/knapweedrail/platform/entries.py
@@ -1,8 +1,8 @@
 """Validates runners' entries in the store, where foreign writers may write as well.
 
 An entry is used only if every field that is read is present and has the right type. If
-values were converted or guessed, a foreign entry could get requests that nobody serves
-or that are served wrongly.
+values were converted or guessed, a foreign entry could get requests that aren't served
+at all or are served wrongly.
 """
 
 from __future__ import annotations
--- a/knapweedrail/platform/start_times.py
+++ b/knapweedrail/platform/start_times.py
@@ -12,10 +12,10 @@
 
 MAX_SKEW_SECONDS = 30.0
 """How far ahead of this host's clock a start time may be. Clocks are closely
-synchronised and jump by seconds. The limit is several times that, so that a host whose
-own clock is wrong doesn't reject every runner's entry as foreign and serve nobody. A
-start time further ahead was written by something else; if it were accepted, no real
-incarnation of that runner would be newer."""
+synchronised and may jump by seconds. The limit is several times that, so that a host
+whose own clock is wrong doesn't reject all runners' entries as foreign and refuse all
+requests. A start time further ahead wasn't written by a runner; if it were accepted, no
+real incarnation of that runner would be newer."""
 
 
 def decode_start_time(spec: dict[str, Any], now: float) -> int:
--- a/knapweedrail/platform/store.py
+++ b/knapweedrail/platform/store.py
@@ -209,7 +209,7 @@
 
 
 def _decode_objects(items: list[dict[str, Any]]) -> Iterator[StoredObject]:
-    """Yield the objects of a page; malformed ones, as without a name, are skipped."""
+    """Yield the objects of a page; malformed ones are logged and skipped."""
     for item in items:
         with _skip_malformed(item):
             yield _decode_object(item)
--- a/knapweedrail/relay/drain_control.py
+++ b/knapweedrail/relay/drain_control.py
@@ -25,8 +25,8 @@
 
     Attributes:
         closing_connections: Whether callers' connections are being closed. A request
-            that is read from one now must not run, since its caller wouldn't get the
-            answer.
+            that is read from such a connection must not run, since its caller wouldn't
+            get the answer.
         answer_durations: How long answers take, by route.
     """
 
@@ -43,7 +43,7 @@
         return self._shutdown is not None
 
     def begin(self, shutdown: Shutdown) -> None:
-        """Begin to drain: requests in progress are cancelled when answers are due."""
+        """Begin to drain; cancel requests that are in progress when answers are due."""
         self._shutdown = shutdown
         for scope in self._scopes:
             scope.deadline = shutdown.answers_due_at
@@ -57,8 +57,8 @@
             request: The request.
             route: Its route.
             now: The present time, by the monotonic clock, seconds.
-            ends_at: When the request has its final answer at the latest, by the same
-                clock.
+            ends_at: Latest time of the request's final answer, by the same clock,
+                seconds.
         """
         shutdown = self._shutdown
         if shutdown is None:
@@ -96,8 +96,8 @@
 def is_duration_sample(outcome: Answered | Broken | Refusal | None) -> bool:
     """Return whether an outcome's duration is a sample of how long answers take.
 
-    That holds for successful answers, broken streams and refusals at the deadline, and
-    not for failures that came quickly.
+    Successful answers, broken streams and refusals at the deadline are samples; quick
+    failures are not.
     """
     match outcome:
         case Answered(status):
--- a/knapweedrail/relay/logs.py
+++ b/knapweedrail/relay/logs.py
@@ -18,7 +18,7 @@
 that together with the priority lines logging uses 0.6 % of a core."""
 
 PRIORITY_LINES_PER_SECOND = 100
-"""Additional lines per second for the events needed most to explain a failure."""
+"""Additional lines per second for `PRIORITY_EVENTS`."""
 
 PRIORITY_EVENTS = frozenset(
     {
@@ -34,7 +34,7 @@
         Event.GRANT_SETTLED,
     }
 )
-"""Events that are still written when others are dropped."""
+"""Events needed most to explain a failure; written while others are dropped."""
 
 MAX_LINE_BYTES = 2000
 """Longest line; a longer one is truncated and marked as such."""
@@ -79,7 +79,7 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Write the queued lines, as far as the reader accepts them in time."""
+        """Write the queued lines that the reader accepts within `CLOSE_SECONDS`."""
         self._report_dropped()
         try:
             self._queue.put_nowait(None)
@@ -137,5 +137,5 @@
                     self._stream.flush()
             self._stream.flush()
         except OSError:
-            # The reader is gone, so the error can't be logged either.
+            # The reader has closed the pipe, so the error can't be logged either.
             return
--- a/knapweedrail/relay/metrics.py
+++ b/knapweedrail/relay/metrics.py
@@ -75,7 +75,7 @@
         self.malformed.add(1, {"kind": kind})
 
     async def prepare_export(self) -> None:
-        """Import the exporter and hand the metrics over to it, if not done yet.
+        """Import the exporter and attach it to the metrics, unless this has been done.
 
         The import runs in a thread, so that the event loop keeps running. In the loop
         it would block every answer in progress for a tenth of a second.
--- a/knapweedrail/relay/models.py
+++ b/knapweedrail/relay/models.py
@@ -136,8 +136,8 @@
 class RunnerIncarnation:
     """Identifies one incarnation of a runner.
 
-    A runner may restart under the same name and then has none of its former state, so
-    observations of one incarnation don't apply to the next.
+    A runner may restart under the same name and loses all its state, so observations of
+    one incarnation don't apply to the next.
 
     Attributes:
         name: Name of the runner; a restart may keep or change it.
--- a/knapweedrail/relay/options.py
+++ b/knapweedrail/relay/options.py
@@ -12,21 +12,22 @@
 from ..shapes import NAME
 
 MARGIN_SECONDS = 0.75
-"""Safety margin of each bound, for network latency and a busy process."""
+"""Safety margin of the bound on leaving runners, for network latency and a busy
+process."""
 
 CATCH_UP_SECONDS = 0.8
-"""Part of the time until a relay has reconnected to the store that is reserved for the
-answer to a watch that has ended or, if that answer is overdue, for a pause and the
-calls that catch up."""
+"""Part of `contact_milliseconds` that is reserved for the answer to a watch whose wait
+has ended or, if that answer is overdue, for a pause and the calls that fetch the missed
+changes."""
 
 MIN_WATCH_SECONDS = 1.0
-"""Shortest wait of a watch. If the settings leave less time, such as less than 1.8 s to
-reconnect, their bounds aren't met after an outage."""
+"""Shortest wait of a watch. If the settings leave less time, as with less than 1.8 s in
+`contact_milliseconds`, their bounds aren't met after an outage."""
 
 MAX_AGE_SLACK_SECONDS = 0.2
-"""Added to the longest regular time between two confirmations. A configuration that
-wasn't confirmed for longer may be outdated, so a key or route that it doesn't contain
-may belong to a newer version."""
+"""Slack added to the longest regular time between two confirmations. A configuration
+that wasn't confirmed for longer may be outdated, so a key or route that it doesn't
+contain may belong to a newer version."""
 
 HEARTBEAT_SHARE = 0.25
 """Heartbeat interval between relays, as a share of the shortest time in which a change
@@ -142,7 +143,7 @@
 
     @property
     def heartbeat_timeout_seconds(self) -> float:
-        """Time without an answer to heartbeats after which a relay is given up."""
+        """Time without a reply after which a source of updates is dropped, seconds."""
         return MAX_MISSED_HEARTBEATS * self.heartbeat_seconds
 
     @property
--- a/knapweedrail/relay/process.py
+++ b/knapweedrail/relay/process.py
@@ -38,8 +38,8 @@
 from .watchers import ConfigurationWatcher, RunnerWatcher
 
 VANISHED_GRACE_SECONDS = 1.9
-"""Time for which a runner whose entry vanished may still be used when no other is
-listed. Entries that lapsed during a store outage are back within about two seconds."""
+"""Time for which a runner whose entry vanished may still be used if no other is listed.
+Entries that lapsed during a store outage reappear within about two seconds."""
 
 FIRST_CONFIGURATION_SECONDS = 0.5
 """Longest time for which a starting relay keeps callers waiting for its first
@@ -50,25 +50,25 @@
 """Interval at which idle connections and vanished runners are pruned."""
 
 SEND_DELAY_SECONDS = 0.05
-"""Delay before suspects and limits are sent to other relays. The requests that one
-crash ends fail almost together, so they are reported in one message."""
+"""Delay before suspects and limits are sent to other relays. Requests that are
+interrupted by one crash fail almost together, so they are reported in one message."""
 
 LIMIT_FANOUT = 4
-"""Relays to which a relay forwards a runner's limit that is new to it. With this
-fan-out the gossip reaches nearly all of several hundred relays in a few rounds; a relay
-that it misses learns the limit from the runner."""
+"""Number of relays to which a relay forwards a runner's limit that is new to it. With
+this fan-out a limit reaches nearly all of several hundred relays in a few rounds; a
+relay that isn't reached gets the limit from the runner itself."""
 
 OUT_OF_ROTATION_SECONDS = 2.2
 """Shortest time for which a relay accepts requests after it was asked to shut down: the
 load balancer checks once a second and removes a host after two failed checks."""
 
 QUIET_SECONDS = 1.0
-"""Time without a new request after which the load balancer is taken to have stopped
-sending. It keeps sending to removed hosts while most hosts of a data centre are out of
-rotation, and a closed listener then costs each caller an attempt."""
+"""Time without a new request after which the load balancer is assumed to send no more.
+While most hosts of a data centre are out of rotation, it keeps sending to removed
+hosts, and each connection refused by a closed listener costs a caller an attempt."""
 
 STREAM_RESERVE_SECONDS = 3.0
-"""Part of the grace period reserved for finishing requests; answers seldom take
+"""Part of the grace period reserved for finishing requests; few answers take
 longer."""
 
 MIN_ACCEPT_SHARE = 0.7
@@ -82,7 +82,7 @@
 
 
 class Relay:
-    """One relay process.
+    """The components of one relay process, from its start to its shutdown.
 
     Args:
         settings: Settings of the process.
--- a/knapweedrail/relay/shutdowns.py
+++ b/knapweedrail/relay/shutdowns.py
@@ -1,10 +1,10 @@
 """Decides which requests a relay still admits while it shuts down.
 
 Pure: times are passed in. A process that was asked to shut down is killed after its
-grace period, and an answer that isn't complete by then is lost: its caller has half a
-stream, or doesn't know whether a call has run. A request that is refused at once is
-served by another host. So a request is admitted if its answer fits into the time that
-is left.
+grace period, and an answer that isn't complete by then is lost: its caller gets an
+incomplete stream, or can't tell whether its call has run. A request that is refused at
+once is served by another host. So a request is admitted if its answer fits into the
+time that is left.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 wait for the store."""
 
 RESERVED_SHARE = 1 / 7
-"""Largest share of the grace period that is reserved. Of a period of three seconds,
-reserving 1.3 s would cut off answers that could still finish."""
+"""Largest share of the grace period that is reserved. Reserving 1.3 s of a
+period of three seconds would cut off answers that could still finish."""
 
 RELEASE_SHARE = 0.4
-"""Share of the reserved time in which tokens are returned. Half of it was too much on a
-host with half a core: the process was killed before it had ended."""
+"""Share of the reserved time in which tokens are returned. A share of one half was too
+much on a host with half a core: the process was killed before it had exited."""
 
 ADMISSION_WINDOW_SECONDS = 2.5
-"""Time after the signal during which a request is admitted although its own limit
-doesn't fit. The load balancer takes 2.2 s to notice the shutdown; callers that arrive
-later have other hosts. Callers are promised three seconds; the window is half a second
-shorter because the signal may be noticed late."""
+"""Time after the signal during which a request is admitted although its own time limit
+exceeds the time left. The load balancer takes 2.2 s to notice the shutdown; requests
+that arrive later can be served by other hosts. Callers are promised three seconds;
+the window is half a second shorter because the signal may be noticed late."""
 
 MIN_ESTIMATE_SECONDS = 3.0
-"""Least estimate of an answer's duration on a route with few samples: right after a
-start the slow answers are those that haven't finished yet."""
+"""Smallest estimate of an answer's duration on a route with few samples: right after a
+start, slow answers haven't finished yet and so aren't among the samples."""
 
 MIN_SAMPLES = 16
-"""Samples from which on a route's estimate rests on them alone: the slowest of that
-many is about the 95th percentile."""
+"""Number of samples from which `MIN_ESTIMATE_SECONDS` no longer applies to a route: the
+slowest of 16 samples is about the 95th percentile."""
 
 MAX_SAMPLES = 64
 """Samples kept for each route. At a few requests per second and host they cover the
@@ -89,7 +89,8 @@
     def find_slowest(self, route: str, now: float) -> float:
         """Return the longest duration of recent and current answers, seconds.
 
-        An answer in progress counts with its present age.
+        The duration of an answer in progress is the time since it began. A route with
+        few samples has an estimate of at least `MIN_ESTIMATE_SECONDS`.
         """
         durations = self._routes.get(route, _RouteDurations())
         slowest = max(durations.finished, default=0.0)
@@ -103,9 +104,9 @@
 class Shutdown:
     """Time budget of one shutdown, from the signal until the process is killed.
 
-    It is made for rolling restarts that are faster than hosts come back: most of a data
-    centre is out of rotation, and the load balancer then sends callers to all of its
-    hosts, also to those that have only seconds left.
+    Designed for rolling restarts in which hosts are stopped faster than they return:
+    most of a data centre is out of rotation, and the load balancer then sends callers
+    to all of its hosts, including those that have only seconds left.
 
     Attributes:
         requested_at: When the process was asked to shut down, by the monotonic clock,
@@ -138,8 +139,8 @@
 
         Args:
             now: The present time, by the clock of `requested_at`, seconds.
-            limit: Time after which the request has its final answer in any case, from
-                its caller's deadline or its route's timeout, seconds.
+            limit: Longest time until the request has its final answer, by its caller's
+                deadline or its route's timeout, seconds.
             slowest: Duration of the slowest recent answer on its route, seconds.
         """
         left = self.answers_due_at - now
--- a/knapweedrail/tests/test_platform_requests.py
+++ b/knapweedrail/tests/test_platform_requests.py
@@ -45,10 +45,10 @@
 
 @pytest.mark.parametrize("name", sorted(names.RESERVED_HEADERS))
 def test_caller_cannot_set_reserved_headers(name):
-    """A caller sends another account, or the cache of another caller's run, in a header
-    that runners trust."""
-    odd = name.decode().upper().encode()
-    request = decode((odd, b"forged"), (name.title(), b"again"))
+    """A caller names another account, or the cached prompt of another caller, in a
+    header that runners trust."""
+    upper_case = name.decode().upper().encode()
+    request = decode((upper_case, b"forged"), (name.title(), b"again"))
     sent = CODEC.encode_request(request, make_runner("i-1"), "farm", 1, 2, 0, None)
     assert b"forged" not in [value for _, value in sent]
     assert b"again" not in [value for _, value in sent]
--- a/knapweedrail/tests/test_platform_store.py
+++ b/knapweedrail/tests/test_platform_store.py
@@ -54,9 +54,9 @@
         assert isinstance(await client.create("k", "a", {"n": 2}), Conflict)
         again = await client.replace("k", "a", {"n": 3}, written.revision)
         assert isinstance(again, Written)
-        beaten = await client.replace("k", "a", {"n": 4}, written.revision)
-        assert isinstance(beaten, Conflict)
-        assert beaten.stored.spec == {"n": 3}
+        outdated = await client.replace("k", "a", {"n": 4}, written.revision)
+        assert isinstance(outdated, Conflict)
+        assert outdated.stored.spec == {"n": 3}
         assert isinstance(await client.replace("k", "b", {}, 1), Missing)
 
 
@@ -97,15 +97,15 @@
 
 async def test_runner_list_recovers_from_outage_and_lost_history():
     """During a store outage one runner leaves, another is added, and the history of
-    these changes is dropped. Requests would be sent to a runner that is gone."""
+    these changes is dropped. Requests would be sent to the runner that has left."""
     async with run_store() as (objects, client):
         table = RunnerTable(grace_seconds=1.9)
-        follower = RunnerWatcher(client, "servers", 0.2, decode_runner, table)
+        watcher = RunnerWatcher(client, "servers", 0.2, decode_runner, table)
         objects.put("servers", "i-1", RUNNER)
         async with anyio.create_task_group() as group:
-            await follower.start(group)
+            await watcher.start(group)
             await wait_until(
-                lambda: {life.name for life in table.list_incarnations()} == {"i-1"}
+                lambda: {one.name for one in table.list_incarnations()} == {"i-1"}
             )
             objects.misbehaviour.away = True
             objects.remove("servers", "i-1")
@@ -116,7 +116,7 @@
             await wait_until(lambda: listed(table) == ["i-2"])
             objects.put("servers", "i-2", {**RUNNER, "state": "draining"})
             await wait_until(lambda: listed(table) == [])
-            await follower.close()
+            await watcher.close()
 
 
 async def test_tokens_are_granted_once_despite_lost_answers():
@@ -223,10 +223,10 @@
 
 
 def test_encoded_objects_decode_to_the_same_values():
-    meant = make_configuration(make_route(RetryPolicy.STREAM), prepaid=5)
-    assert decode_configuration(encode_configuration(meant)) == meant
-    nobody = attrs.evolve(meant, accounts=None)
-    assert decode_configuration(encode_configuration(nobody)) == nobody
+    original = make_configuration(make_route(RetryPolicy.STREAM), prepaid=5)
+    assert decode_configuration(encode_configuration(original)) == original
+    keyless = attrs.evolve(original, accounts=None)
+    assert decode_configuration(encode_configuration(keyless)) == keyless
     runner = make_runner("i-1")
     assert decode_runner("i-1", encode_runner(runner)) == runner
 
@@ -252,11 +252,11 @@
 async def test_object_without_name_is_skipped(item, monkeypatch):
     """If such an object were an error, it would end the task that watches the kind, or
     make the store count as unavailable for as long as the object exists."""
-    sound = {"metadata": {"name": "a", "revision": 5}, "spec": 1}
+    valid = {"metadata": {"name": "a", "revision": 5}, "spec": 1}
     async with run_store() as (_, client):
         pages = [
-            {"entries": [sound, item], "asOf": 9},
-            {"events": [{"object": item}, {"object": sound}], "asOf": 9},
+            {"entries": [valid, item], "asOf": 9},
+            {"events": [{"object": item}, {"object": valid}], "asOf": 9},
             {"entries": [item], "asOf": 9, "morePages": True},
         ]
 
--- a/knapweedrail/tests/test_relay_process.py
+++ b/knapweedrail/tests/test_relay_process.py
@@ -50,7 +50,7 @@
 
 STOP_SECONDS = 6
 STORE_DELAY_SECONDS = 0.3
-"""Less than the time for which a start waits for its first configuration."""
+"""Shorter than the time for which a starting relay waits for its configuration."""
 
 EVENTS = 30
 
@@ -157,7 +157,7 @@
 
 
 async def test_callers_wait_for_first_configuration_at_startup(tmp_path):
-    """Guards against refusals of callers by all hosts when these start together."""
+    """Guards against all hosts refusing callers while they start together."""
     headers = make_headers(1)
     del headers["knapweedrail-token-usage"]
     run = run_process(tmp_path, answer_normally, delay=STORE_DELAY_SECONDS)
@@ -245,8 +245,8 @@
 
 async def test_shutdown_with_open_connections_prints_only_log_lines(tmp_path):
     """A call still hangs at its runner when the grace period ends, and other callers
-    keep idle connections. Each printed a traceback, which looked like a fault to the
-    operator."""
+    keep idle connections. The process printed a dozen tracebacks, which looked like a
+    fault to the operator."""
     async with run_process(tmp_path, hang) as (_, relay, _):
         port = int(relay.url.rpartition(":")[2])
         callers = [await anyio.connect_tcp("127.0.0.1", port) for _ in range(4)]
@@ -271,15 +271,15 @@
     # the relay had left.
     by_kind = {line["message_type"]: line for line in lines}
     assert 0 <= by_kind["102 router_stopping"]["noticed_after"] < 0.3
-    taken = by_kind["607 request_taken_late"]
-    assert taken["request"] == "id-2" and 0.2 < taken["arrived_after"] < 1.0
-    cut = [line for line in lines if line["message_type"] == "608 request_cut_off"]
-    assert len(cut) == 2 and all(not line["started"] for line in cut)
+    admitted = by_kind["607 request_taken_late"]
+    assert admitted["request"] == "id-2" and 0.2 < admitted["arrived_after"] < 1.0
+    aborted = [line for line in lines if line["message_type"] == "608 request_cut_off"]
+    assert len(aborted) == 2 and all(not line["started"] for line in aborted)
 
 
 async def test_tokens_of_killed_process_count_as_used(tmp_path):
-    """Tokens held by a killed process may have been used, so they count as used, and
-    the process that replaces it can't use them again."""
+    """A killed process may have used the tokens that it was granted, so they count as
+    used, and the process that replaces it can't use them again."""
     async with run_process(tmp_path, answer_normally) as (objects, relay, client):
         await client.post(f"{relay.url}/a/x", headers=make_headers(1))
         os.kill(relay.process.pid, signal.SIGKILL)
--- a/knapweedrail/tests/test_relay_raw_requests.py
+++ b/knapweedrail/tests/test_relay_raw_requests.py
@@ -43,7 +43,7 @@
     """Send bytes and return all that is received until the connection is closed.
 
     Raises:
-        TimeoutError: If nothing is received for that many seconds.
+        TimeoutError: If nothing is received for ``seconds``.
     """
     got = b""
     async with await anyio.connect_tcp(host, port) as stream:
@@ -68,7 +68,7 @@
 async def test_content_length_with_chunked_encoding_is_refused_immediately():
     """Guards against request smuggling. If the relay framed the body by its length and
     the runner by its chunks, the rest of the body would run as another request without
-    an account. A caller that sends both by mistake must not wait for its timeout."""
+    an account. A caller that sends both by mistake must not wait until it times out."""
     async with run_server() as (runner, host, port):
         data = HEAD + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
         got = await send_raw(host, port, data + b"0\r\n\r\n" + SMUGGLED + b"\r\n")
@@ -157,8 +157,8 @@
 
 async def test_draining_relay_refuses_requests_it_may_not_finish():
     """A caller with an open connection sends a request four seconds after the relay was
-    asked to shut down. It was admitted, the grace period ended during its answer, and
-    the caller got an incomplete answer."""
+    asked to shut down. The request was admitted, the grace period ended before its
+    answer was complete, and the caller got an incomplete answer."""
     runner = ScriptedRunner(answer_normally)
     route = make_route(RetryPolicy.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
@@ -189,7 +189,7 @@
 
 async def test_incomplete_body_is_refused_with_deadline():
     """A caller's link is so slow that its request is incomplete at its deadline. A
-    refusal that named a shutdown would mislead whoever looks for the cause."""
+    refusal that named a shutdown would mislead an operator who looks for the cause."""
     async with run_server() as (runner, host, port):
         head = HEAD.replace(b"3000", b"300") + b"Content-Length: 9\r\n\r\nhalf"
         got = await send_raw_until_idle(host, port, head)
--- a/knapweedrail/tests/test_relay_shutdown.py
+++ b/knapweedrail/tests/test_relay_shutdown.py
@@ -1,4 +1,4 @@
-"""Shutdown of a relay process: which requests are admitted, and that none is lost.
+"""Shutdown of a relay process: admitted requests finish, and late ones are refused.
 
 Guards against incomplete streams when hosts are restarted in turn, two seconds apart.
 Requests were admitted three seconds and more after the signal, and the process ended
@@ -22,7 +22,7 @@
 
 
 def make_slow_stream(seconds):
-    """Return a runner's script: a stream of ten events spread over that many seconds.
+    """Return a runner's script: a stream of ten events spread over ``seconds``.
 
     Its ``begun`` event is set once the first request for a stream has arrived.
     """
@@ -103,9 +103,9 @@
 
 
 async def test_short_grace_period_is_used_for_answers(tmp_path):
-    """The grace period is three seconds. The reserve for closing was measured for
-    eight; taken in full from three, it leaves answers less than half of the time, and a
-    stream of 2.2 s is cut off."""
+    """The grace period is three seconds. The reserve for closing was measured for a
+    grace period of eight; taken in full from three, it leaves answers less than half of
+    the time, and a stream of 2.2 s is cut off."""
     settings = {"stop_seconds": 3}
     script = make_slow_stream(2.2)
     async with run_process(tmp_path, script, settings) as (_, relay, _):
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize("again", [signal.SIGTERM, signal.SIGHUP])
 async def test_second_signal_during_shutdown_is_ignored(tmp_path, again):
     """A second stop signal, or a change of the settings file, arrives during shutdown.
-    The second signal had no handler any more and killed the process: a stream was cut
+    The second signal no longer had a handler and killed the process: a stream was cut
     off, and the tokens that the relay held were lost."""
     script = make_slow_stream(2.0)
     async with run_process(tmp_path, script) as (objects, relay, _):
--- a/knapweedrail/tests/test_relay_shutdown_limits.py
+++ b/knapweedrail/tests/test_relay_shutdown_limits.py
@@ -53,18 +53,18 @@
 
 
 def test_request_is_admitted_while_its_limit_fits():
-    """A request with a timeout of 1.5 s has its answer by then, whatever its endpoint
-    does. If it were refused all the same, its caller might reach the next host that
-    shuts down."""
+    """A request with a timeout of 1.5 s gets its final answer by then, even if its
+    endpoint doesn't respond. If it were refused, its caller might reach the next host
+    that shuts down."""
     shutdown = Shutdown(0.0, 8.0)
     assert shutdown.admits(5.0, limit=1.5, slowest=0.1)
     assert not shutdown.admits(5.5, limit=1.5, slowest=0.1)
 
 
 def test_long_stream_is_admitted_only_in_admission_window():
-    """Streams with a timeout of 15 s seldom take two seconds. Those that arrive long
-    after the load balancer could notice the shutdown are served by other hosts, since
-    one of them might be much slower."""
+    """Streams with a timeout of 15 s seldom take two seconds. Streams that arrive
+    long after the load balancer could notice the shutdown are left to other hosts,
+    since one of them might be much slower."""
     shutdown = Shutdown(0.0, 8.0)
     assert shutdown.admits(ADMISSION_WINDOW_SECONDS, limit=15.0, slowest=2.0)
     assert not shutdown.admits(ADMISSION_WINDOW_SECONDS + 0.1, limit=15.0, slowest=2.0)
@@ -86,15 +86,15 @@
 
 
 def test_running_answer_counts_with_its_age():
-    """Engines have just become slow. No finished answer shows it yet, but streams in
+    """Engines have become slow. No finished answer shows it yet, but streams in
     progress are already older than any finished one."""
     durations = AnswerDurations()
     for _ in range(MAX_SAMPLES):
         durations.record("plans", 0.5)
-    began = durations.begin("plans", 100.0)
+    number = durations.begin("plans", 100.0)
     assert durations.find_slowest("plans", 100.2) == 0.5
     assert durations.find_slowest("plans", 105.0) == 5.0
-    durations.end("plans", began, 106.0, is_sample=True)
+    durations.end("plans", number, 106.0, is_sample=True)
     assert durations.find_slowest("plans", 200.0) == 6.0
 
 
@@ -102,9 +102,9 @@
 async def test_signal_time_is_recorded_while_event_loop_is_blocked():
     """A busy event loop handles a signal 0.3 s late, but the process is killed at a
     time that counts from the signal."""
-    clock = StopSignalRecorder()
+    recorder = StopSignalRecorder()
     with anyio.open_signal_receiver(signal.SIGUSR1) as signals:
-        clock.watch([signal.SIGUSR1])
+        recorder.watch([signal.SIGUSR1])
         sent_at = time.monotonic()
         os.kill(os.getpid(), signal.SIGUSR1)
         while time.monotonic() < sent_at + 0.3:
@@ -112,13 +112,14 @@
         with anyio.fail_after(1):
             async for _ in signals:
                 break
-    assert clock.read_stop_time() - sent_at < 0.1
+    assert recorder.read_stop_time() - sent_at < 0.1
 
 
 @pytest.mark.anyio
 async def test_incomplete_body_at_shutdown_is_refused():
     """A caller's link is slow, and its request is incomplete when answers are due. It
-    got an empty 500; told that nothing has run, it retries at once at another host."""
+    got an empty 500. A refusal that says that nothing has run lets the caller retry at
+    once at another host."""
     runner = ScriptedRunner(hang)
     route = make_route(RetryPolicy.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
@@ -141,8 +142,8 @@
 @pytest.mark.anyio
 async def test_hanging_call_at_shutdown_gets_outcome_unknown():
     """An endpoint doesn't answer, and the grace period ends. If the connection were
-    just closed, the caller couldn't tell whether the request has run; told that the
-    outcome is unknown, it can check."""
+    closed without an answer, the caller couldn't tell whether the request has run. An
+    answer that says that the outcome is unknown lets the caller check."""
     runner = ScriptedRunner(hang)
     route = make_route(RetryPolicy.ONCE)
     async with run_relay(make_configuration(route), runner) as relay:
--- a/knapweedrail/tests/test_relay_start.py
+++ b/knapweedrail/tests/test_relay_start.py
@@ -55,9 +55,9 @@
 
 
 def test_startup_imports_no_unneeded_library():
-    """All hosts start together after a power outage. Imports for metrics that nobody
-    has requested, or for reporting faults that the settings don't have, would make
-    callers wait longer."""
+    """All hosts start together after a power outage. Imports for metrics that
+    haven't been requested, or for reporting faults that the settings don't have, would
+    make callers wait longer."""
     program = (
         "import sys; import knapweedrail.tools.service;"
         f"print([name for name in {UNNEEDED!r} if name in sys.modules])"
@@ -113,8 +113,8 @@
 
 
 def test_occupied_port_is_reported(tmp_path, capsys):
-    """A second relay is started on the same host by mistake. It exits at once with an
-    error message."""
+    """A second relay is started on the same host by mistake. It prints an error
+    message and exits at once."""
     with socket.create_server(("127.0.0.1", 0)) as taken:
         address = f"127.0.0.1:{taken.getsockname()[1]}"
         settings = write_settings(tmp_path, address)
@@ -188,7 +188,7 @@
         process.close()
     lines = map(json.loads, (tmp_path / "log").read_bytes().splitlines())
     stopping = [line for line in lines if "noticed_after" in line]
-    # About half a second of imports lies in between, and time counts from the signal.
+    # The signal is noticed after about half a second of imports; time counts from it.
     assert stopping[0]["noticed_after"] > 0.05
     head, _, body = answer.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 503 ")
