--- a/knapweedrail/tests/test_purity.py
+++ b/knapweedrail/tests/test_purity.py
@@ -77,7 +77,7 @@
 
 
 PURE_RELAY = [
-    "accounts",
+    "account_holdings",
     "allowances",
     "grants",
     "ledgers",
