--- a/knapweedrail/platform/relays.py
+++ b/knapweedrail/platform/relays.py
@@ -35,7 +35,7 @@
     metrics = RelayMetrics()
     malformed = MalformedObjects(metrics.count_malformed)
     store = InstrumentedStore(PlatformStore(settings.store_address), metrics)
-    configuration, runners = make_followers(settings, store, malformed)
+    configuration, runners = make_watchers(settings, store, malformed)
     return Relay(
         settings,
         listener,
@@ -49,7 +49,7 @@
     )
 
 
-def make_followers(
+def make_watchers(
     settings: RelaySettings, store: Store, malformed: MalformedObjects
 ) -> tuple[ConfigurationWatcher, RunnerWatcher]:
     """Return the watchers of the configuration and of the list of runners."""
--- a/knapweedrail/tests/test_relay_followers.py
+++ b/knapweedrail/tests/test_relay_followers.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies
 
 from ..platform.clients import ANSWER_SECONDS
-from ..platform.relays import make_followers, make_relay
+from ..platform.relays import make_relay, make_watchers
 from ..platform.store import WATCH_GRACE_SECONDS, PlatformStore
 from ..relay.malformed import MalformedObjects
 from ..relay.options import RelaySettings
@@ -132,7 +132,7 @@
         objects.put("config", "main", make_configuration(1))
         objects.put("servers", "i-1", RUNNER)
         client = PlatformStore(settings.store_address)
-        watchers = make_followers(settings, client, MalformedObjects())
+        watchers = make_watchers(settings, client, MalformedObjects())
         for watcher in watchers:
             await watcher.start(group)
         await anyio.sleep(0.3)
