--- a/knapweedrail/tests/test_relay_foreign.py
+++ b/knapweedrail/tests/test_relay_foreign.py
@@ -25,7 +25,7 @@
     run_relay,
 )
 from .test_platform_store import run_store, wait_until
-from .test_relay_lives import OLD, WatchedRunners, make_entry
+from .test_relay_incarnations import OLD, WatchedRunners, make_entry
 
 pytestmark = pytest.mark.anyio
 
--- a/knapweedrail/tests/test_relay_foreign_state.py
+++ b/knapweedrail/tests/test_relay_foreign_state.py
@@ -19,7 +19,7 @@
 from ..relay.reservations import Shortage
 from ..relay.stores import Unreadable
 from .relays_in_memory import ACCOUNT, MemoryStore
-from .test_relay_draws import PREPAID, run_scenario
+from .test_relay_ledger_updates import PREPAID, run_scenario
 
 pytestmark = pytest.mark.anyio
 
