--- a/knapweedrail/relay/account_holdings.py
+++ b/knapweedrail/relay/account_holdings.py
@@ -32,7 +32,7 @@
 CONFIRM_SECONDS = 6.0
 """Seconds for which peeks, which may be stale and cost a tenth of a call, may replace a
 confirmed read. Otherwise each primary relay of a fully granted account would rewrite
-its grant unchanged again and again, only to find that no tokens were returned."""
+its unchanged grant repeatedly to check whether tokens were returned."""
 
 
 @attrs.frozen
@@ -73,7 +73,7 @@
 
 @attrs.define
 class AccountHolding:
-    """One account as this relay holds it.
+    """One account at this relay: its allowance and the last view of its ledger.
 
     Attributes:
         ledger: Its ledger as last seen.
@@ -86,8 +86,8 @@
             seconds. If it is before `seen_at`, the ledger has been readable since.
         refreshing: Whether an update of the ledger is in progress.
         borrowing: Whether a request to other relays is in progress.
-        pending_draws: Number of requests that wait for a draw on the ledger, including
-            those at a relay that isn't primary for the account.
+        pending_draws: Number of requests that wait for a draw on the ledger, whether or
+            not this relay is primary for the account.
         unconfirmed_hosts: Hosts that haven't answered the last trade; they may have
             lent tokens.
         disbursed_at_write: Tokens disbursed when the grant was last written.
@@ -115,7 +115,7 @@
 
     @property
     def holder(self) -> str:
-        """The holder that this relay is."""
+        """Name of this relay as a holder in the ledger."""
         return self.allowance.holder
 
     def is_unreadable(self, now: float, max_age: float) -> bool:
@@ -127,14 +127,14 @@
         return self.unreadable_at > self.seen_at and now - self.unreadable_at < max_age
 
     def is_fresh(self, now: float) -> bool:
-        """Returns whether a confirmed read would hardly show anything new."""
+        """Returns whether the view is recent enough to do without a confirmed read."""
         if now - self.seen_at < FRESH_SECONDS:
             return True
         recently_peeked = now - self.peeked_at < FRESH_SECONDS
         return recently_peeked and now - self.confirmed_at < CONFIRM_SECONDS
 
     def apply_ledger(self, ledger: AccountLedger, revision: int, now: float) -> None:
-        """Replaces the view by the ledger as it is stored."""
+        """Replaces the view of the ledger by the stored one."""
         if self.revision is None:
             self.unused_at_first_read = not ledger.confirmed_used
         self.ledger = ledger
@@ -165,9 +165,10 @@
             primaries: Number of primary relays of an account.
             is_primary: Whether this relay is one of them.
             warming_up: Whether this relay has had too little traffic to know its
-                demand. If the account was in use before this relay started, it holds
-                nothing in advance for that: other relays do, and the tokens would be
-                lost for nothing if the host crashes again soon.
+                demand. It then holds tokens in advance only if the account was unused
+                when the ledger was first read. Otherwise other relays already hold
+                tokens, and those held here would be lost without any benefit if the
+                host crashes again soon.
             boot_time: Current reading of this host's clock; without it, grants are
                 written without a vesting schedule.
             started: Reading at the start of this relay.
@@ -220,10 +221,10 @@
     ) -> bool:
         """Returns whether the grant needs a new vesting schedule.
 
-        It does in three cases. Requests wait while tokens of the grant haven't vested.
-        Or so many vested tokens are unused that a crash of this relay would lose too
-        much. Or the time of day was set, so that the start of the boot in the ledger
-        would be taken for that of another boot.
+        It does in three cases: requests wait while tokens of the grant haven't vested;
+        so many vested tokens are unused that a crash of this relay would lose too much;
+        or the time of day was set, so that the boot recorded in the ledger would be
+        taken for another one.
         """
         allowance = self.allowance
         if not allowance.schedules or boot_time is None:
--- a/knapweedrail/relay/allowances.py
+++ b/knapweedrail/relay/allowances.py
@@ -1,10 +1,10 @@
 """Tokens of one account at one relay, including its loans to and from other relays.
 
-Pure. Every token is at one holder: granted to it by the ledger, or lent to it by
-another holder. A lender takes tokens out of use before it announces the loan, and a
-borrower before it announces the return. Both are reported as totals that never
-decrease. So lost, repeated or reordered messages between relays can strand tokens for a
-while, but never duplicate them.
+Performs no I/O. Every token is at one holder: granted to it by the ledger, or lent to
+it by another holder. A lender takes tokens out of use before it announces the loan, and
+a borrower before it announces the return. Both are reported as totals that never
+decrease. So lost, repeated or reordered messages between relays can leave tokens unused
+for a while, but never duplicate them.
 
 A holder uses no more of its grant than has vested. This gives a bound to the relay that
 settles the grant after the holder's crash.
@@ -28,7 +28,7 @@
     Attributes:
         total: Tokens lent in total.
         returned: Tokens returned in total. Exceeds `total` if the borrower's own lender
-            was gone and it returned tokens to this one instead.
+            had ended and it returned tokens to this one instead.
         spent: Tokens spent of the loan, as far as known.
         acknowledged: Part of `returned` that the lender is known to have received.
         reported: Part of `spent` that the lender is known to have received.
@@ -42,7 +42,7 @@
 
     @property
     def outstanding(self) -> int:
-        """Tokens of the lender that the borrower still has available."""
+        """Tokens lent that are neither returned nor known to be spent."""
         return self.total - self.returned - self.spent
 
     def acknowledge(self, returned: int, spent: int) -> None:
@@ -64,7 +64,8 @@
         lent: Loans to other holders, by borrower.
         read_clock: Returns the milliseconds since the host's boot.
         schedules: Vesting schedules of its grant: the one in the ledger as last seen,
-            and those of later writes that may have taken effect. All of them apply.
+            and those of later writes that may have taken effect. The one by which the
+            fewest tokens have vested applies.
     """
 
     holder: str
@@ -81,7 +82,7 @@
 
     @property
     def granted(self) -> int:
-        """Tokens it received in total, without those now at other holders."""
+        """Its grant plus tokens borrowed, without those lent or being returned."""
         borrowed = sum(loan.total - loan.returned for loan in self.borrowed.values())
         lent = sum(loan.total - loan.returned for loan in self.lent.values())
         return self.tokens - self.withheld + borrowed - lent
@@ -137,8 +138,8 @@
         return loan.total
 
     def accept_return(self, borrower: str, returned: int, spent: int) -> int:
-        """Applies a borrower's totals; returns the tokens returned since the last
-        ones."""
+        """Applies a borrower's totals; returns the tokens returned since its previous
+        totals."""
         loan = self.lent.setdefault(borrower, Loan())
         received = max(0, returned - loan.returned)
         loan.returned += received
@@ -155,15 +156,16 @@
         self.borrowed.setdefault(lender, Loan()).returned += tokens
 
     def apply_ledger(self, ledger: AccountLedger) -> None:
-        """Applies the ledger as it is stored, when none of this relay's writes is
-        unconfirmed any more."""
+        """Applies the stored ledger. To be called only when none of this relay's writes
+        can still take effect."""
         grant = ledger.grants.get(self.holder, Grant(0, 0))
         self.withheld = 0
         self.tokens = grant.tokens
         self.schedules = [grant.vesting] if grant.vesting else []
 
     def record_spent(self, ledger: AccountLedger) -> Grant:
-        """Enters the tokens spent in the ledger and returns the grant."""
+        """Updates the spent tokens of this holder's grant in a ledger; returns the
+        grant."""
         known = ledger.grants.get(self.holder, Grant(0, 0))
         spent = max(known.spent, self._count_own_spent())
         ledger.grants[self.holder] = attrs.evolve(known, spent=spent)
@@ -181,8 +183,8 @@
         """Attributes spent tokens to their origin, so that each is reported to the
         ledger once.
 
-        Tokens that were written off with their holder before they were returned here
-        come first; the ledger already counts them as used. Then come loans, which their
+        Tokens that were returned here after their holder's grant was written off come
+        first; the ledger already counts them as used. Then come loans, which their
         lenders report. The rest is spent from this holder's own grant.
         """
         written_off = sum(
--- a/knapweedrail/relay/borrowing.py
+++ b/knapweedrail/relay/borrowing.py
@@ -24,7 +24,7 @@
 
     Args:
         peers: Client for the other relays.
-        membership: The relays that take part.
+        membership: The relays of the fleet.
         changed: Notified whenever balances may have changed.
     """
 
@@ -40,7 +40,8 @@
         """Borrows from other relays in turn until the waiting requests can be served.
 
         Returns:
-            Why there are still too few tokens, if a lender told; otherwise ``None``.
+            Why there are still too few tokens, if a lender gave a reason; otherwise
+            ``None``.
         """
         while holding.borrowing:
             await self._changed.wait()
@@ -73,8 +74,8 @@
         """Repeats totals that a lender may have missed, and queries what it has lent.
 
         A lender whose answer was lost has taken tokens out of use for this relay, and
-        one that missed a return still counts those tokens as lent. Until it learns how
-        many were spent, callers of a spent budget are told to retry.
+        one that missed a return still counts those tokens as lent. Until it receives
+        the number of spent tokens, requests of a spent budget are refused as retryable.
         """
         idle = holding.allowance.demand.is_idle(time.monotonic())
         members = {m.holder: m for m in self._membership.list_others()}
@@ -94,7 +95,7 @@
     async def prompt_settlements(self, holding: AccountHolding) -> None:
         """Prompts hosts to settle grants of their previous incarnations.
 
-        Only the host itself can tell how long they ran. A host that is no longer
+        Only the host itself can determine how long they ran. A host that is no longer
         primary for the account has no other reason to read its ledger.
         """
         now = time.monotonic()
@@ -139,7 +140,7 @@
                 break
             # The second lender of a data centre stands in while the first is
             # unresponsive. If the first answered, the second would only draw on the
-            # ledger for tokens that the first has just found missing there.
+            # same ledger, in which the first has found too few tokens.
             if member.data_centre in answered:
                 continue
             if self._peers.is_in_backoff(member, now):
--- a/knapweedrail/relay/grants.py
+++ b/knapweedrail/relay/grants.py
@@ -1,6 +1,6 @@
 """Planning of how many prepaid tokens a relay holds in advance.
 
-Pure: the clock is passed in.
+Performs no I/O; times are passed in.
 """
 
 from __future__ import annotations
@@ -17,18 +17,19 @@
 MAX_HELD_SHARE = 0.5
 """Largest share of the remaining budget that all primary relays together may hold.
 Tokens held by a relay are lost when it crashes. Each primary may hold an even share,
-plus whatever the others leave unused: all callers of an account may come to one data
+plus whatever the others leave unused: all callers of an account may use one data
 centre, with no demand in the others."""
 
 AMPLE_SECONDS = 35.0
 """Seconds for which the remaining budget must last for relays to hold that full share.
 Requests refused in an outage can be repeated after it as long as the budget isn't used
-up by then, but tokens lost with a relay never come back. So the sooner a budget runs
+up by then, but tokens lost with a relay can't be recovered. So the sooner a budget runs
 out, the less there is to gain from holding it, and the more to lose."""
 
 SCARCITY_EXPONENT = 3
-"""Exponent by which the share falls below that. Of a budget that lasts half as long, an
-eighth of the full share may be held."""
+"""Exponent by which the held share falls once the remaining budget lasts less than
+`AMPLE_SECONDS`. Of a budget that lasts half as long, an eighth of the full share may be
+held."""
 
 MIN_TARGET_SECONDS = 0.8
 """Seconds of demand that a primary relay holds even if the budget runs out soon. With
@@ -45,7 +46,7 @@
 is known. It covers the first seconds of traffic, which may begin with an outage."""
 
 WARM_UP_SECONDS = 8.0
-"""Seconds after its first request during which a relay holds that share, until its
+"""Seconds after its first request during which a relay holds `WARM_UP_SHARE`, until its
 demand is known."""
 
 REFILL_THRESHOLD = 0.65
@@ -80,7 +81,7 @@
 stream events."""
 
 VESTING_FACTOR = 2.0
-"""Rate at which a grant vests, as a multiple of the demand rate. Nothing can raise it
+"""Rate at which a grant vests, as a multiple of the demand rate. It can't be raised
 during an outage, when demand may double. Tokens that are vested and unused are lost
 when the relay crashes."""
 
@@ -100,9 +101,9 @@
 crashes."""
 
 MIN_DISBURSED_SHARE = 0.5
-"""Fraction of that excess that must also have been disbursed since the last write. This
-bounds the writes per budget, however long it lasts, and an account without demand costs
-none."""
+"""Fraction of `MAX_EXCESS_SHARE` that must also have been disbursed since the last
+write. This bounds the writes per budget, however long it lasts, and an account without
+demand costs none."""
 
 DEMAND_WINDOW_SECONDS = 8.0
 """Time constant of the demand average, seconds. It is as long as the tokens held have
@@ -112,8 +113,7 @@
 
 @attrs.define
 class Demand:
-    """Demand for one account at this relay, in the most tokens that each request may
-    use.
+    """Demand for one account at this relay, in the maximum tokens of each request.
 
     Attributes:
         largest: The largest recent request, tokens.
@@ -136,7 +136,7 @@
         self._last = now
 
     def record_return(self, tokens: int, now: float) -> None:
-        """Subtracts tokens that were requested and came back unspent."""
+        """Subtracts tokens that were requested and returned unspent."""
         decay = math.exp((self._last - now) / DEMAND_WINDOW_SECONDS)
         # With no demand, or with demand that has decayed to nothing, there is nothing
         # to subtract from.
@@ -240,8 +240,8 @@
 def compute_held_share(left: float, rate: float) -> float:
     """Returns the share of the remaining budget that all primary relays may hold.
 
-    It is made for an account whose callers request more than its budget, while hosts
-    lose power one after the other or all at once.
+    It is designed for an account whose callers request more than its budget, while
+    hosts lose power one after the other or all at once.
 
     Args:
         left: Remaining tokens.
@@ -279,7 +279,7 @@
 ) -> VestingTerms:
     """Returns how a grant should vest.
 
-    It is made for crashes of one host or of all, while each holds many seconds of
+    It is designed for crashes of one host or of all, while each holds many seconds of
     demand. What hadn't vested by then returns to the account.
 
     Args:
@@ -318,7 +318,7 @@
     """Returns the change of the grant of a relay that isn't primary for the account.
 
     It draws for itself if no primary relay responds, and only as much as it would
-    borrow: the next request may find its lender again.
+    borrow, since a lender may respond to the next request again.
     """
     needed = demand.unmet - available
     if needed > 0:
@@ -329,14 +329,14 @@
 def plan_loan(available: int, needed: int, wanted: int) -> int:
     """Returns the tokens that a relay lends to another one that has too few.
 
-    It is made for outages in which no relay can reach the store and demand is uneven. A
-    request that waits now takes precedence over later ones here, so it gets what it
-    needs even if that is everything. Beyond that, half of the rest stays, since it
-    isn't known which relay will have the next demand.
+    It is designed for outages in which no relay can reach the store and demand is
+    uneven. A request that waits now takes precedence over later ones here, so it gets
+    what it needs even if that is everything. Beyond that, half of the rest stays, since
+    it isn't known which relay will have the next demand.
 
     Args:
         needed: Tokens for waiting requests.
-        wanted: Tokens to last for a while, those needed included.
+        wanted: Tokens for waiting requests and for those expected soon.
     """
     available = max(0, available)
     return max(min(needed, available), min(wanted, available // 2))
@@ -352,9 +352,9 @@
 def plan_return(available: int, demand: Demand, now: float) -> int:
     """Returns the tokens that a borrower should return.
 
-    It is made for many relays, each with few requests of an account. As the budget runs
-    low, tokens kept at one relay for a request that may never come are missing at all
-    the others.
+    It is designed for many relays, each with few requests of an account. As the budget
+    runs low, tokens kept at one relay for a request that may not arrive are unavailable
+    to all the others.
     """
     kept = 0
     if not demand.is_idle(now):
--- a/knapweedrail/relay/holdings.py
+++ b/knapweedrail/relay/holdings.py
@@ -29,7 +29,7 @@
 from .stores import Store
 
 REFILL_INTERVAL_SECONDS = 1.0
-"""Pause between checks of the balances; at most a tenth of a balance is spent in it."""
+"""Pause between checks of the balances. At most a tenth of a balance is spent in it."""
 
 JITTER_BOUNDS = (0.7, 1.3)
 """Bounds of the random factor of each pause. Relays start together; with equal pauses
@@ -37,9 +37,9 @@
 writes would conflict."""
 
 TOKEN_WAIT_SECONDS = 0.5
-"""Longest time that a request waits for tokens: a hundred replies of the store, or
-requests to two other relays. Beyond that the ledger counts as out of reach, and the
-caller is told when to retry."""
+"""Longest time that a request waits for tokens. It allows for a hundred replies of the
+store, or for requests to two other relays. After it the request is refused as out of
+reach, and the refusal says when to retry."""
 
 
 class Holdings(Task, TokenLender):
@@ -51,8 +51,9 @@
     Args:
         store: The platform's store.
         peers: Client for the other relays.
-        membership: The relays that take part.
-        read_configuration: Returns the configuration in force, if one is known.
+        membership: The relays of the fleet.
+        read_configuration: Returns the configuration in force, or ``None`` before
+            there is one.
         malformed: Records ledgers that can't be decoded.
         clock: Clock by which grants vest; the host's own by default.
     """
@@ -94,10 +95,10 @@
                 )
 
     async def reserve(self, account: Account, tokens: int) -> Reservation | Shortage:
-        """Reserves the most tokens that a request may use.
+        """Reserves the largest number of tokens that a request may use.
 
-        A request that finds too few waits for the ledger or for another relay, and is
-        refused if neither has enough.
+        If too few are available, waits up to `TOKEN_WAIT_SECONDS` for the ledger or for
+        another relay.
 
         Returns:
             The reservation, or the reason why there is none.
@@ -132,8 +133,8 @@
         if self._released:
             return TradeAnswer(self._holder, 0, Shortage.OUT_OF_REACH)
         if holding.revision is None:
-            # The caller may know of a grant left by a previous incarnation on this
-            # host.
+            # The call may be a prompt to settle the grant of a previous incarnation on
+            # this host.
             self._updater.schedule_refresh(holding)
         if trade.lender == self._holder:
             received = allowance.accept_return(
@@ -165,7 +166,7 @@
         return float(holding.allowance.available) if holding else 0.0
 
     def describe(self, account: Account) -> dict[str, Any]:
-        """Returns the state of an account, and its age in seconds, for a log line."""
+        """Returns the state of an account for a log line, with its age in seconds."""
         holding = self._get_holding(account.name)
         return {
             "available": holding.allowance.available,
@@ -183,7 +184,7 @@
         }
 
     async def release(self) -> None:
-        """Returns all tokens. To be called once no request is running any more."""
+        """Returns all tokens. To be called after the last request has ended."""
         self._released = True
         self._updater.close()
         async with anyio.create_task_group() as group:
@@ -210,7 +211,7 @@
                 continue
             self._updater.schedule_refresh(holding)
             if self._updater.store_unavailable:
-                # One call suffices to learn whether the store is available again.
+                # One call suffices to check whether the store is available again.
                 break
 
     async def _maintain_loans(self, holding: AccountHolding) -> None:
@@ -222,7 +223,11 @@
     async def _obtain_tokens(
         self, account: Account, holding: AccountHolding, tokens: int
     ) -> Shortage | None:
-        """Reserves tokens as they arrive from the ledger or from other relays."""
+        """Draws or borrows tokens for a request and reserves them.
+
+        Returns:
+            ``None`` if the tokens are reserved, or else why there are too few.
+        """
         allowance = holding.allowance
         shortage: Shortage | None = None
         if self._membership.is_primary_for(account.name):
@@ -245,7 +250,8 @@
     async def _draw_for_peer(
         self, holding: AccountHolding, needed: int
     ) -> Shortage | None:
-        """Draws tokens on the ledger that another relay needs."""
+        """Draws tokens that another relay needs; returns why there are too few, or
+        ``None``."""
         account = self._updater.find_account(holding.name)
         if account is None:
             return Shortage.OUT_OF_REACH
@@ -263,8 +269,8 @@
         for _ in range(MAX_WRITE_ATTEMPTS):
             if self._holder not in holding.ledger.grants:
                 break
-            # Tokens returned by an unconfirmed write of this loop are returned by the
-            # next one.
+            # Tokens that an unconfirmed write of this loop should return are included
+            # in the next write.
             returned = max(0, holding.allowance.free + holding.allowance.withheld)
             planned = holding.ledger.copy()
             holding.allowance.record_spent(planned)
--- a/knapweedrail/relay/ledger_updates.py
+++ b/knapweedrail/relay/ledger_updates.py
@@ -32,34 +32,35 @@
 LEDGER_KIND = "token-ledgers"
 
 OUTAGE_RETRY_SECONDS = 0.5
-"""Pause between attempts while the store is unavailable. Tokens run out in that time,
-and requests are refused until the first successful attempt. A lost call burdens only
-the store, which all relays call."""
+"""Pause between attempts while the store is unavailable. Held tokens run out during an
+outage, and requests are refused until the first successful attempt. A lost call costs
+only the store, which all relays call."""
 
 MAX_LOST_REPLIES = 4
 """Number of consecutive lost replies from which on the store counts as unavailable.
-With a third of all replies lost, that happens once in eighty times. Without such a
-limit, a store that reset every connection was called eight times for each request that
-found too few tokens."""
+With a third of all replies lost, four in a row are lost once in eighty times. Without
+such a limit, a store that reset every connection was called eight times for each
+request that found too few tokens."""
 
 MAX_WRITE_ATTEMPTS = 8
-"""Attempts of one update. One relay per data centre writes an account's ledger, each
-about once in some seconds. Conflicts are rare, and eight in a row occur only if the
-store misbehaves."""
+"""Attempts of one update. One relay per data centre writes an account's ledger, about
+once every few seconds. Conflicts are rare, and eight in a row occur only if the store
+misbehaves."""
 
 MAX_CONFLICT_BACKOFF_SECONDS = 0.02
-"""Upper bound of the random pause after a conflict; a few replies of the store."""
+"""Upper bound of the random pause after a conflict, in which the store can reply a few
+times."""
 
 MAX_DRAW_ATTEMPTS = 3
 """Attempts to draw on the ledger for one request. The first may join an update that was
-planned before the request arrived, and the second may at worst lose to other relays'
+planned before the request arrived, and the second may conflict with other relays'
 writes."""
 
 PEEK_AGE_SECONDS = 0.5
-"""Age of the view from which on the ledger is peeked at before it is written. The
-primary relays of three or four data centres write an account's ledger, so one that
-wrote seconds ago often meets another relay's write. Without the peek that costs two
-calls instead of 1.1."""
+"""Age of the view of a ledger from which on it is peeked at before it is written. A
+peek may be stale and costs a tenth of a call. The primary relays of three or four data
+centres write an account's ledger, so the next write of each often conflicts with
+another relay's. Without the peek that costs two calls instead of 1.1."""
 
 
 class LedgerUpdater:
@@ -67,8 +68,9 @@
 
     Args:
         store: The platform's store.
-        membership: The relays that take part.
-        read_configuration: Returns the configuration in force, if one is known.
+        membership: The relays of the fleet.
+        read_configuration: Returns the configuration in force, or ``None`` before
+            there is one.
         changed: Notified whenever balances may have changed.
         clock: Clock by which grants vest.
         malformed: Records ledgers that can't be decoded.
@@ -99,16 +101,16 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether the ledger may be called: no call has just failed."""
+        """Whether the store may be called: the pause after a failed call is over."""
         return time.monotonic() >= self._unavailable_until
 
     def start(self, group: anyio.abc.TaskGroup) -> None:
-        """Starts to run updates in ``group``."""
+        """Runs updates as tasks of ``group`` from now on."""
         self._group = group
         self._running.set()
 
     def close(self) -> None:
-        """Starts no more updates."""
+        """Starts no further updates; those in progress continue."""
         self._group = None
 
     def list_prepaid_accounts(self) -> list[Account]:
@@ -153,12 +155,14 @@
         if not holding.refreshing and self._group is not None:
             holding.refreshing = True
             if self.store_unavailable:
-                # Only one request waits to see whether the store is available again.
+                # Only one request waits for this check of the store. The others treat
+                # it as unreachable meanwhile.
                 self._unavailable_until = time.monotonic() + OUTAGE_RETRY_SECONDS
             self._group.start_soon(self._refresh, holding)
 
     async def write(self, holding: AccountHolding, planned: AccountLedger) -> bool:
-        """Writes a ledger if it hasn't changed; returns whether the write took effect.
+        """Writes a ledger unless the stored one has changed; returns whether the write
+        is known to have taken effect.
 
         Tokens that the write returns are taken out of use before it is sent, and tokens
         that it draws come into use only after it is confirmed. So if its reply is lost,
@@ -228,7 +232,8 @@
 
         Only a newer revision is applied. At the known revision, a write of this relay
         whose reply was lost may still take effect, so the tokens that it returns stay
-        out of use. Past that revision, the write has taken effect or never will.
+        out of use. A newer revision shows that the write has taken effect or can't any
+        more.
 
         Returns:
             Whether the store replied or no peek was needed.
@@ -247,7 +252,7 @@
             holding.revision or 0
         ):
             self._apply_stored(holding, peeked)
-            # The peeked ledger may be seconds old.
+            # The peeked ledger may be seconds old, so it doesn't count as fresh.
             holding.seen_at = now - FRESH_SECONDS
         return True
 
@@ -269,8 +274,8 @@
         """Returns whether an account's ledger can't be read, which counts as out of
         reach.
 
-        Nothing can be granted from it: no write takes effect at a revision that wasn't
-        read. An attempt for each request would cost eight calls in vain.
+        Nothing can be granted from it, because no write takes effect at a revision that
+        wasn't read. Each request's attempt would make eight calls that can't succeed.
         """
         return holding.is_unreadable(time.monotonic(), FRESH_SECONDS)
 
--- a/knapweedrail/relay/ledgers.py
+++ b/knapweedrail/relay/ledgers.py
@@ -1,7 +1,7 @@
 """The ledger of prepaid tokens: what each holder was granted, and what is used.
 
-Pure. One object of the platform's store holds the ledger of one account, and every
-change is a conditional update of it. Used tokens plus all grants never exceed the
+Performs no I/O. One object of the platform's store holds the ledger of one account, and
+every change is a conditional update of it. Used tokens plus all grants never exceed the
 prepaid tokens, so no order of events can overspend a budget: relays get tokens by
 grants alone, and from then on tokens are only lent, returned and spent.
 
@@ -10,9 +10,9 @@
 been used count as used, and the rest is free again. The grant's vesting schedule bounds
 what may have been used.
 
-The ledger doesn't record loans between holders. A relay whose lender is gone may return
-tokens to another relay. A grant is therefore a net figure, and may be negative if a
-holder has returned more to the ledger than it drew from it.
+The ledger doesn't record loans between holders. A relay whose lender has ended may
+return tokens to another relay. A grant is therefore a net figure, and may be negative
+if a holder has returned more to the ledger than it drew from it.
 """
 
 from __future__ import annotations
@@ -112,7 +112,7 @@
         )
 
     def count_held(self, excluding: str) -> int:
-        """Returns the tokens that all holders but one have not reported as spent.
+        """Returns the tokens of all holders but one that aren't reported as spent.
 
         Args:
             excluding: The holder to leave out.
@@ -124,7 +124,7 @@
         )
 
     def count_held_by_ended(self, is_present: Callable[[str], bool]) -> int:
-        """Returns the tokens that ended holders have not reported as spent.
+        """Returns the tokens of ended holders that aren't reported as spent.
 
         Args:
             is_present: Returns whether a holder is still running.
@@ -145,7 +145,7 @@
 
     Args:
         host: Name of the host, the same after a restart.
-        incarnation: Unique to the process.
+        incarnation: Identifier that is unique to the process.
     """
     return f"{host}/{incarnation}"
 
@@ -200,13 +200,13 @@
 
 
 def release_holder(ledger: AccountLedger, holder: str, returned: int) -> None:
-    """Ends the grant of a holder that spends nothing any more.
+    """Ends the grant of a holder that has stopped spending.
 
-    Tokens that it has lent stay granted. Their borrowers may still spend them, so they
-    must not count as used for certain.
+    Tokens that it has lent stay granted. Their borrowers may return them unspent, so
+    they must not count as used yet.
 
     Args:
-        returned: Tokens that it has left.
+        returned: Its unused tokens, which become free.
     """
     grant = ledger.grants.pop(holder, Grant(0, 0))
     left = grant.tokens - returned
@@ -221,7 +221,7 @@
     grants = {
         holder: [grant.tokens, grant.spent] for holder, grant in ledger.grants.items()
     }
-    # Kept apart from the grants, so that relays of the previous version can read those.
+    # Stored apart, so that relays of the previous version can read the grants.
     schedules = {
         holder: encode_schedule(grant.vesting)
         for holder, grant in ledger.grants.items()
--- a/knapweedrail/relay/peer_updates.py
+++ b/knapweedrail/relay/peer_updates.py
@@ -26,7 +26,7 @@
 
     @abstractmethod
     def notify_change(self) -> None:
-        """Notifies that new changes of the store are known."""
+        """Notifies that changes of the store were received."""
 
     @abstractmethod
     def notify_store_available(self) -> None:
@@ -56,7 +56,7 @@
         replica: Known objects of the kind.
         confirmed_at: A time up to which everything that the store acknowledged is
             known, seconds.
-        supply: Updates that replace calls to the store.
+        peer_updates: Updates that replace calls to the store.
     """
 
     replica: Replica
--- a/knapweedrail/relay/stop_signals.py
+++ b/knapweedrail/relay/stop_signals.py
@@ -13,10 +13,9 @@
 class StopSignalRecorder:
     """Records when the process received its first stop signal.
 
-    The event loop delivers a signal only when it gets to it, which takes some tenths of
-    a second under load, while the time until the process is killed counts from the
-    signal. The interpreter calls a signal handler of its own between two bytecode
-    instructions.
+    The event loop handles a signal in its next iteration, some tenths of a second late
+    under load, while the time until the process is killed counts from the signal. The
+    interpreter runs a Python signal handler between two bytecode instructions.
     """
 
     def __init__(self) -> None:
@@ -24,7 +23,7 @@
 
     def watch(self, numbers: Iterable[int]) -> None:
         """Installs handlers for these signals. The event loop's own handlers are still
-        woken."""
+        called."""
         for number in numbers:
             signal.signal(number, self._record)
             signal.siginterrupt(number, False)
--- a/knapweedrail/relay/successors.py
+++ b/knapweedrail/relay/successors.py
@@ -1,7 +1,7 @@
 """Task that identifies the runner that has replaced an ended one at its address.
 
-It is made for runners that crash and restart while this relay can't reach the store, so
-that it doesn't learn of their new incarnations. Without it the relay went on with the
+It is designed for runners that crash and restart while this relay can't reach the
+store, so that their new incarnations aren't listed. Without it the relay used only the
 remaining runners, three of five, and every second prompt was late while two idle
 runners were reachable.
 
@@ -27,7 +27,8 @@
 from .runners import RunnerTable
 
 REPORT_TIMEOUT_SECONDS = 0.25
-"""Longest wait for a report. A runner sends it at once, without occupying a slot."""
+"""Longest wait for a report. A runner sends it without delay and needs no slot for
+it."""
 
 REPORT_RETRY_SECONDS = 1.0
 """Pause before the same runner is queried again, as its first answer may have been
@@ -40,7 +41,7 @@
 
 @attrs.frozen
 class IdentityMismatch:
-    """Another runner answered where one was expected.
+    """A runner other than the expected one answered at its address.
 
     Attributes:
         runner: The expected runner.
@@ -52,14 +53,15 @@
 
 
 class SuccessorDetector(Task):
-    """Queries runners that answer in place of others, and adds those that may get their
-    requests.
+    """Queries runners that answer at the address of another one, and adds those that
+    may get its requests.
 
     Args:
         pool: Connections to runners.
         codec: Encodes report requests and decodes reports.
         table: Receives the successors.
-        read_configuration: Returns the configuration in force, if one is known.
+        read_configuration: Returns the configuration in force, or ``None`` before
+            there is one.
     """
 
     def __init__(
@@ -77,7 +79,7 @@
         self._requested_at: dict[str, float] = {}
 
     def report_mismatch(self, runner: Runner, name: str) -> None:
-        """Reports that another runner answered where one was expected.
+        """Reports that another runner answered at the address of the expected one.
 
         Args:
             runner: The expected runner.
--- a/knapweedrail/relay/vesting.py
+++ b/knapweedrail/relay/vesting.py
@@ -1,10 +1,10 @@
 """Vesting schedules of grants, which bound what an ended holder can have used.
 
-Pure. A holder keeps tokens for many seconds of demand, since it may lose contact to the
-ledger, and doesn't need them all at once. So each grant states how many of its tokens
-may be used when it is written, and how many more vest with each millisecond. If the
-holder crashes, tokens that hadn't vested by then weren't used, and return to the
-account.
+Performs no I/O. A holder keeps tokens for many seconds of demand, since it may lose
+access to the ledger, and doesn't need them all at once. So each grant states how many
+of its tokens may be used when it is written, and how many more vest with each
+millisecond. If the holder crashes, tokens that hadn't vested by then weren't used, and
+return to the account.
 
 The holder and its successor on the same host read the same clock, which counts from the
 host's boot. The successor has to verify that it is the same boot: a power loss resets
@@ -46,7 +46,7 @@
     started_at: int
 
     def is_same(self, other: Boot) -> bool:
-        """Returns whether both are certainly the same boot."""
+        """Returns whether both are known to be the same boot."""
         if not self.identity or self.identity != other.identity:
             return False
         return abs(self.started_at - other.started_at) <= BOOT_TOLERANCE_MILLISECONDS
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class BootTime:
-    """A reading of a host's clock.
+    """A reading of a host's clock, which counts from its boot.
 
     Attributes:
         uptime: Milliseconds since the boot.
@@ -64,8 +64,8 @@
     uptime: int
 
     def measure_since(self, earlier: BootTime) -> int | None:
-        """Returns the milliseconds since an earlier reading of the same boot; ``None``
-        if it isn't certain that it is one."""
+        """Returns the milliseconds since an earlier reading; ``None`` if it may be of
+        another boot."""
         if not self.boot.is_same(earlier.boot) or self.uptime < earlier.uptime:
             return None
         return self.uptime - earlier.uptime
--- a/knapweedrail/tests/test_relay_draws.py
+++ b/knapweedrail/tests/test_relay_draws.py
@@ -1,4 +1,4 @@
-"""Draws on a ledger that other relays write as well."""
+"""Tests of draws on a ledger that other relays write as well."""
 
 import anyio
 import pytest
@@ -55,7 +55,7 @@
         return shortage
 
     def expire_view(self):
-        """Makes the view of the ledger old."""
+        """Makes the view of the ledger stale."""
         self.holding.seen_at = self.holding.peeked_at = float("-inf")
 
 
@@ -103,16 +103,16 @@
     assert harness.holding.allowance.available == 0
 
 
-@pytest.mark.parametrize("fate", ["lose", "drop"])
-async def test_peek_does_not_undo_an_unconfirmed_return(fate):
+@pytest.mark.parametrize("write_result", ["lose", "drop"])
+async def test_peek_does_not_undo_an_unconfirmed_return(write_result):
     """Guards against tokens that are spent twice after a return whose reply was lost.
-    The write may still take effect; a peek that shows the previous state proves
-    nothing."""
+    The write may still take effect; a peek that shows the previous state doesn't
+    rule that out."""
 
     async def scenario(harness):
         await harness.draw(1000)
         former = harness.stored
-        harness.store.write_results = [fate]
+        harness.store.write_results = [write_result]
         planned = harness.holding.ledger.copy()
         planned.grants["host/1"] = Grant(0, 0)
         assert not await harness.updater.write(harness.holding, planned)
@@ -170,7 +170,7 @@
 
 
 async def test_returned_tokens_are_found_by_the_next_confirmed_read():
-    """Guards against requests that are refused forever on the basis of stale peeks."""
+    """Guards against refusals without end on the basis of stale peeks."""
 
     async def scenario(harness):
         full = AccountLedger(0, {OTHER: Grant(PREPAID, 0)})
--- a/knapweedrail/tests/test_relay_foreign_state.py
+++ b/knapweedrail/tests/test_relay_foreign_state.py
@@ -1,4 +1,4 @@
-"""Relays' membership entries and ledgers that are written by others or invalid."""
+"""Tests of membership entries and ledgers that are invalid or of other writers."""
 
 import copy
 
@@ -192,8 +192,8 @@
 
 @pytest.mark.parametrize("spec", INVALID_MEMBERS)
 def test_invalid_member_entry_raises(spec):
-    """Guards against membership entries of other writers. An address without a port
-    made a request that was about to borrow fail with an internal error."""
+    """Guards against invalid membership entries of other writers. An address without a
+    port made a request that was about to borrow fail with an internal error."""
     with pytest.raises(ValueError) as caught:
         decode_member("h", spec)
     assert len(str(caught.value)) < 300
--- a/knapweedrail/tests/test_relay_grants.py
+++ b/knapweedrail/tests/test_relay_grants.py
@@ -1,4 +1,4 @@
-"""How many tokens relays hold, under demanding loads."""
+"""Tests of how many tokens relays hold under demanding loads."""
 
 from ..relay.account_holdings import estimate_others_rate
 from ..relay.grants import (
@@ -49,8 +49,8 @@
 
 
 def test_relay_holds_enough_for_a_store_outage():
-    """Guards against refusals while all relays lose the store for eight seconds, of an
-    account whose budget has plenty left."""
+    """Guards against refusals for an account with an ample budget, while no relay can
+    reach the store for eight seconds."""
     demand = make_demand(rate=5000)
     target = compute_target(make_budget(free=MILLION), make_balance(0), demand, 100.0)
     assert target >= 8 * 5000
@@ -58,7 +58,7 @@
 
 def test_all_relays_hold_a_bounded_share_of_the_rest():
     """Guards against six relays with callers that hold all of a budget that runs low.
-    Held tokens are lost with their relay, and out of the others' reach."""
+    Held tokens are lost when their relay crashes, and other relays can't use them."""
     free, held = 100_000, [0] * 6
     demand = make_demand(rate=20_000)
     for _ in range(5):
@@ -74,7 +74,7 @@
 
 
 def test_relay_with_all_callers_may_hold_the_unused_share_of_others():
-    """Guards against even shares when all callers of an account come to one relay. It
+    """Guards against even shares when all callers of an account use one relay. It
     would run out in an outage while five others hold tokens without demand."""
     demand = make_demand(rate=20_000)
     budget = make_budget(free=MILLION, held=0)
@@ -130,9 +130,9 @@
 
 
 def test_grant_vests_at_twice_the_demand():
-    """Guards against refusals when all hosts lose the store and demand doubles, though
-    there are tokens left. The grant still vests slowly enough that most of it would be
-    recovered if the host crashed now."""
+    """Guards against refusals when no host can reach the store and demand doubles,
+    though there are tokens left. The grant still vests slowly enough that most of it
+    would be recovered if the host crashed now."""
     demand = make_demand(rate=4000)
     terms = plan_vesting(make_budget(free=MILLION // 2), 80_000, demand, 100.0)
     assert terms.rate >= 2 * 3500
@@ -140,7 +140,7 @@
 
 
 def test_grant_without_demand_vests_within_the_maximum_time():
-    """Guards against refusals when the first caller of an idle account comes in an
+    """Guards against refusals when the first request of an idle account arrives in an
     outage."""
     terms = plan_vesting(make_budget(free=MILLION // 2), 24_000, Demand(), 0.0)
     assert terms.rate * 12 >= 24_000
@@ -176,8 +176,8 @@
 
 
 def test_little_is_held_of_a_budget_that_runs_low():
-    """Guards against a power loss that takes the tokens for a budget's last seconds of
-    demand."""
+    """Guards against the loss of the tokens for a budget's last seconds of demand when
+    hosts lose power."""
     demand = make_demand(rate=2_000)
     plenty = make_budget(free=MILLION, others_rate=10_000)
     most = compute_target(plenty, make_balance(0), demand, 100.0)
--- a/knapweedrail/tests/test_relay_ledger.py
+++ b/knapweedrail/tests/test_relay_ledger.py
@@ -1,4 +1,4 @@
-"""Prepaid tokens are never overspent, whatever happens to writes, loans and relays."""
+"""State machine which checks that no fault of writes, loans or relays overspends."""
 
 import copy
 
@@ -262,9 +262,9 @@
             max(0, r.allowance.available) for r in self.relays.values()
         )
         assert self.spent <= PREPAID
-        # Tokens that could be spent at once, without the store, are covered as well.
+        # The bound includes tokens that could be spent at once, without the store.
         assert self.spent + total_available <= PREPAID
-        # And so are tokens that vest later.
+        # It also includes tokens that vest later.
         later = sum(max(0, r.allowance.free) for r in self.relays.values())
         assert self.spent + later <= PREPAID
 
@@ -275,8 +275,8 @@
 
     @invariant()
     def reported_spending_is_real(self):
-        """Callers are told "spent" by these numbers, so no spending may be reported
-        twice."""
+        """Requests are refused as spent by these numbers, so no spending may be
+        reported twice."""
         ledger = decode_ledger(self.store.spec)
         assert sum(grant.spent for grant in ledger.grants.values()) <= self.spent
 
@@ -288,7 +288,7 @@
 
 
 class PrepaidTokensWithoutBootIds(PrepaidTokens):
-    """All boots of a host have one identity; only its time of day tells them apart."""
+    """Boots of a host share one identity; only its time of day distinguishes them."""
 
     has_boot_ids = False
 
@@ -329,8 +329,8 @@
 
 
 def test_borrowed_tokens_are_reported_as_spent_once():
-    """Guards against lender and borrower both reporting the same spending. Callers
-    would be told that a budget is spent of which half is left."""
+    """Guards against lender and borrower both reporting the same spending. Requests
+    would be refused as spent while half of the budget is left."""
     lender, borrower = Allowance("a/1"), Allowance("b/1")
     ledger = AccountLedger(0, {"a/1": Grant(100, 0), "b/1": Grant(50, 0)})
     lender.apply_ledger(ledger)
@@ -345,8 +345,8 @@
 
 
 def test_tokens_of_ended_holders_are_counted_separately():
-    """Guards against log lines of refusals that don't show whether tokens wait for a
-    settlement."""
+    """Guards against log lines of refusals that don't show whether tokens of ended
+    holders await settlement."""
     ledger = AccountLedger(10, {"a/1": Grant(80, 30), "a/2": Grant(20, 5)})
     assert ledger.count_held_by_ended(lambda holder: holder != "a/1") == 50
     assert ledger.count_held(excluding="a/2") == 50
--- a/knapweedrail/tests/test_relay_ledger_faults.py
+++ b/knapweedrail/tests/test_relay_ledger_faults.py
@@ -1,5 +1,5 @@
-"""Faults injected into the ledger's rules overspend a budget; the rules themselves
-don't."""
+"""Checks that the state machine of the ledger's tests detects faults that are injected
+into the ledger's rules."""
 
 import attrs
 import pytest
@@ -36,13 +36,13 @@
 
 
 def forget_loans(self):
-    """Leaves lent tokens out of the use of a grant."""
+    """Omits lent tokens from the use of a grant."""
     lent = sum(loan.total - loan.returned for loan in self.lent.values())
     return self.tokens - self.withheld - self.free - lent
 
 
 def trust_every_boot(self, other):
-    """Compares the clocks of two different boots."""
+    """Treats all boots of a host as the same one."""
     return True
 
 
--- a/knapweedrail/tests/test_relay_lending.py
+++ b/knapweedrail/tests/test_relay_lending.py
@@ -1,4 +1,4 @@
-"""Relays lend prepaid tokens to each other, over gRPC, with a store in memory."""
+"""Tests of token loans between relays, over gRPC, with a store in memory."""
 
 import contextlib
 import itertools
@@ -42,7 +42,7 @@
 
 
 class Fleet:
-    """Relays that know each other, each with a server for the others."""
+    """Relays that list each other as members, each with a server for the others."""
 
     def __init__(self, prepaid, group):
         self.store = MemoryStore()
@@ -73,7 +73,7 @@
         return membership.member
 
     async def start(self):
-        """Makes all relays known to each other, and starts them."""
+        """Lists all relays in each membership, and starts them."""
         members = {m.member.host: m.member for m in self.memberships.values()}
         for membership in self.memberships.values():
             membership._members = dict(members)
@@ -222,8 +222,8 @@
 
 
 async def test_borrowing_relay_reports_a_spent_budget():
-    """Guards against callers that retry in vain at a relay that doesn't draw on the
-    ledger, after the budget is spent."""
+    """Guards against callers that retry to no effect at a relay that doesn't draw on
+    the ledger, after the budget is spent."""
     async with run_fleet(1000, 3) as fleet:
         first, second = fleet.list_others("dc-0")
         (await fleet.reserve(first, 1000)).settle(1000)
@@ -238,18 +238,18 @@
     primary."""
     members = [Member(f"h-{n}", f"h-{n}/1", f"a:{n}", f"dc-{n % 3}") for n in range(30)]
     for account in map(str, range(50)):
-        asked = order_lenders(account, members, "dc-0", "none/1")
-        assert asked == order_lenders(account, members[::-1], "dc-0", "none/1")
-        assert [m.data_centre for m in asked[:2]] == ["dc-0", "dc-0"]
-        assert {m.data_centre for m in asked[2:]} == {"dc-1", "dc-2"}
-        fewer = [m for m in members if m != asked[1]]
-        assert order_lenders(account, fewer, "dc-0", "none/1")[0] == asked[0]
+        ordered = order_lenders(account, members, "dc-0", "none/1")
+        assert ordered == order_lenders(account, members[::-1], "dc-0", "none/1")
+        assert [m.data_centre for m in ordered[:2]] == ["dc-0", "dc-0"]
+        assert {m.data_centre for m in ordered[2:]} == {"dc-1", "dc-2"}
+        fewer = [m for m in members if m != ordered[1]]
+        assert order_lenders(account, fewer, "dc-0", "none/1")[0] == ordered[0]
 
 
 async def test_tokens_returned_to_the_ledger_are_found_by_other_relays():
-    """Guards against refusals by an old view of the ledger. One relay holds all of a
-    budget and returns it, after a relay of another data centre has seen the ledger
-    empty."""
+    """Guards against refusals based on a stale view of the ledger. One relay holds all
+    of a budget and returns it, after a relay of another data centre has read a ledger
+    without free tokens."""
     async with run_fleet(10_000, 1, 1) as fleet:
         first = fleet.holdings["h-0-0"]
         (await fleet.reserve("h-1-0", 10)).settle(10)
@@ -267,7 +267,7 @@
 
 
 async def test_store_that_resets_connections_is_called_rarely():
-    """Guards against a storm of calls to a store that resets each connection on the
+    """Guards against excessive calls to a store that resets each connection on the
     first write. Every request that finds too few tokens would call it again and again,
     and wait."""
     async with run_fleet(100_000, 1) as fleet:
@@ -335,7 +335,7 @@
 
 async def test_primary_relay_changes_as_relays_join():
     """Guards against a relay that stays primary for accounts after other relays have
-    joined and draw for them as well; their ledgers can't bear that many writes."""
+    joined and draw for them as well; a ledger can't be written that often."""
     store = MemoryStore()
     membership = Membership(store, Member("h-0", "h-0.1", "", "dc"))
     membership.settled = True
--- a/knapweedrail/tests/test_relay_power_loss.py
+++ b/knapweedrail/tests/test_relay_power_loss.py
@@ -1,4 +1,4 @@
-"""Accounts that run low keep serving their callers after a power loss of all hosts."""
+"""Tests that nearly spent budgets still serve requests after all hosts lose power."""
 
 import random
 
@@ -20,7 +20,7 @@
 RECOVERY_SECONDS = 12.0
 SERVED_SHARE = 0.25
 LOST_SHARE = 0.03
-"""Share of a budget from which on callers are owed nothing more."""
+"""Remaining share of a budget below which requests needn't be served."""
 
 
 def make_budgets(seconds):
--- a/knapweedrail/tests/test_relay_recovery.py
+++ b/knapweedrail/tests/test_relay_recovery.py
@@ -1,4 +1,4 @@
-"""Unused tokens of a dead relay return to its account, and no more than those."""
+"""Tests that only unused tokens of a crashed relay return to its account."""
 
 import anyio
 import attrs
@@ -47,7 +47,7 @@
         self.time_of_day += milliseconds
 
     def restart(self):
-        """Returns the clock as the next process on this host finds it."""
+        """Returns the clock as the next process on this host reads it."""
         return ScriptedClock(self.identity, self.uptime, self.time_of_day)
 
 
@@ -86,7 +86,7 @@
         await self.holdings.start(group)
 
     async def kill(self):
-        """Ends the relay without any notice."""
+        """Ends the relay without returning its tokens."""
         await self.holdings.close()
 
     async def use(self, tokens):
@@ -267,8 +267,8 @@
 
 async def test_relay_starting_with_the_fleet_keeps_its_initial_tokens():
     """Guards against a relay that gives up its initial tokens, at the start of a day,
-    because an account's first requests come to another host. Its own first requests may
-    come in an outage."""
+    because an account's first requests arrive at another host. Its own first requests
+    may arrive in an outage."""
 
     async def scenario(group, store, hosts):
         first, second = hosts
--- a/knapweedrail/tests/test_relay_successors.py
+++ b/knapweedrail/tests/test_relay_successors.py
@@ -1,4 +1,4 @@
-"""Runners that restart while the relay can't reach the store."""
+"""Tests of runners that restart while the relay can't reach the store."""
 
 import anyio
 import attrs
@@ -33,7 +33,7 @@
 
     async def respond(self, stream, head):
         if find_header(head, "knapweedrail-expect-instance") != "i-9":
-            # The server library writes header names in any case.
+            # Server libraries may change the case of header names.
             identity = {"Knapweedrail-Instance-Id": "i-9"}
             await stream.send(make_answer(head, b"", 421, **identity))
         elif head.startswith("GET /report "):
@@ -56,10 +56,8 @@
     async with run_relay(configuration, runner) as relay:
         first = await relay.call()
         assert first.status == 503
-        with_next = [
-            await relay.call(knapweedrail_request_id=f"n{n}") for n in range(9)
-        ]
-        return with_next[-1].status, runner, relay
+        answers = [await relay.call(knapweedrail_request_id=f"n{n}") for n in range(9)]
+        return answers[-1].status, runner, relay
 
 
 async def test_restarted_runner_gets_requests_before_it_is_listed():
@@ -73,14 +71,14 @@
 
 @pytest.mark.parametrize("report", [b"", b"[]", b'{"kvTotal":0}', b'{"kvTotal":"x"}'])
 async def test_runner_without_an_engine_report_gets_no_requests(report):
-    """Guards against requests run by the wrong service. An engine has crashed for good,
-    and its address was given to a runner of another kind."""
+    """Guards against requests run by the wrong service. An engine has crashed without a
+    restart, and its address was given to a runner of another kind."""
     status, *_ = await send_requests(make_engines(), RestartedRunner(report))
     assert status == 503
 
 
 async def test_refused_report_is_ignored():
-    """A plain service refuses the report request, as it names no request identity."""
+    """A service that sends no reports rejects the request, which has no request ID."""
     restarted = RestartedRunner(report_status=400)
     status, *_ = await send_requests(make_engines(), restarted)
     assert status == 503
@@ -89,7 +87,7 @@
 async def test_report_is_not_requested_with_two_engine_endpoints():
     """Guards against requests sent to the wrong endpoint. Runners of both would report
     an engine's memory, the address may have passed from one to the other, and only the
-    store's list can tell."""
+    store's list shows which one has it."""
     configuration = make_engines(attrs.evolve(ENGINE, name="other"))
     status, runner, _ = await send_requests(configuration, RestartedRunner())
     assert status == 503
@@ -155,7 +153,7 @@
 
 def test_unlisted_successor_is_removed_after_a_list():
     """Guards against failing attempts at a runner that replaced another one and then
-    crashed for good, all in one outage. The list has no entry for it."""
+    crashed without a restart, all in one outage. The list has no entry for it."""
     table = RunnerTable(grace_seconds=1.9)
     make_presumed(table)
     assert list_names(table, 30.0) == ["i-9"]
