--- a/knapweedrail/relay/account_holdings.py
+++ b/knapweedrail/relay/account_holdings.py
@@ -55,7 +55,7 @@
 
 
 def estimate_others_rate(ledger: AccountLedger, excluding: str) -> float:
-    """Returns the demand rate at all holders but one, tokens per second.
+    """Return the demand rate at all holders but one, tokens per second.
 
     A grant vests at a multiple of its demand rate. If the demand isn't known, it vests
     completely within some seconds instead; such a rate says nothing about demand and is
@@ -119,7 +119,7 @@
         return self.allowance.holder
 
     def is_unreadable(self, now: float, max_age: float) -> bool:
-        """Returns whether the ledger was unreadable at the last read.
+        """Return whether the ledger was unreadable at the last read.
 
         Args:
             max_age: Age up to which that read counts, seconds.
@@ -127,14 +127,14 @@
         return self.unreadable_at > self.seen_at and now - self.unreadable_at < max_age
 
     def is_fresh(self, now: float) -> bool:
-        """Returns whether the view is recent enough to do without a confirmed read."""
+        """Return whether the view is recent enough to do without a confirmed read."""
         if now - self.seen_at < FRESH_SECONDS:
             return True
         recently_peeked = now - self.peeked_at < FRESH_SECONDS
         return recently_peeked and now - self.confirmed_at < CONFIRM_SECONDS
 
     def apply_ledger(self, ledger: AccountLedger, revision: int, now: float) -> None:
-        """Replaces the view of the ledger by the stored one."""
+        """Replace the view of the ledger by the stored one."""
         if self.revision is None:
             self.unused_at_first_read = not ledger.confirmed_used
         self.ledger = ledger
@@ -155,7 +155,7 @@
         boot_time: BootTime | None = None,
         started: BootTime | None = None,
     ) -> Plan | None:
-        """Returns the ledger as it should be, or ``None`` if no change is due.
+        """Return the ledger as it should be, or ``None`` if no change is due.
 
         While requests wait for tokens, a view that isn't fresh is written again
         unchanged: the condition of the write fails if other relays returned tokens, and
@@ -219,7 +219,7 @@
     def _needs_new_schedule(
         self, budget: BudgetView, terms: VestingTerms, boot_time: BootTime | None
     ) -> bool:
-        """Returns whether the grant needs a new vesting schedule.
+        """Return whether the grant needs a new vesting schedule.
 
         It does in three cases: requests wait while tokens of the grant haven't vested;
         so many vested tokens are unused that a crash of this relay would lose too much;
--- a/knapweedrail/relay/allowances.py
+++ b/knapweedrail/relay/allowances.py
@@ -46,7 +46,7 @@
         return self.total - self.returned - self.spent
 
     def acknowledge(self, returned: int, spent: int) -> None:
-        """Records that the lender has received these totals."""
+        """Record that the lender has received these totals."""
         self.acknowledged = max(self.acknowledged, returned)
         self.reported = max(self.reported, spent)
 
@@ -118,27 +118,27 @@
         return min(self.free, vested - self.used)
 
     def reserve(self, tokens: int) -> bool:
-        """Reserves tokens if enough are available; returns whether it did."""
+        """Reserve tokens if enough are available; return whether it did."""
         if self.available < tokens:
             return False
         self.reserved += tokens
         return True
 
     def settle(self, tokens: int, used: int) -> None:
-        """Ends a reservation: counts the tokens used and frees the rest."""
+        """End a reservation: count the tokens used and free the rest."""
         used = min(used, tokens)
         self.reserved -= tokens
         self.spent += used
         self._attribute_spending(used)
 
     def lend(self, borrower: str, tokens: int) -> int:
-        """Lends tokens; returns the total lent to that borrower."""
+        """Lend tokens; return the total lent to that borrower."""
         loan = self.lent.setdefault(borrower, Loan())
         loan.total += tokens
         return loan.total
 
     def accept_return(self, borrower: str, returned: int, spent: int) -> int:
-        """Applies a borrower's totals; returns the tokens returned since its previous
+        """Apply a borrower's totals; return the tokens returned since its previous
         totals."""
         loan = self.lent.setdefault(borrower, Loan())
         received = max(0, returned - loan.returned)
@@ -147,16 +147,16 @@
         return received
 
     def borrow(self, lender: str, total: int) -> None:
-        """Applies the total that another holder has lent."""
+        """Apply the total that another holder has lent."""
         loan = self.borrowed.setdefault(lender, Loan())
         loan.total = max(loan.total, total)
 
     def give_back(self, lender: str, tokens: int) -> None:
-        """Takes tokens out of use that are returned to another holder."""
+        """Take tokens out of use that are returned to another holder."""
         self.borrowed.setdefault(lender, Loan()).returned += tokens
 
     def apply_ledger(self, ledger: AccountLedger) -> None:
-        """Applies the stored ledger. To be called only when none of this relay's writes
+        """Apply the stored ledger. To be called only when none of this relay's writes
         can still take effect."""
         grant = ledger.grants.get(self.holder, Grant(0, 0))
         self.withheld = 0
@@ -164,7 +164,7 @@
         self.schedules = [grant.vesting] if grant.vesting else []
 
     def record_spent(self, ledger: AccountLedger) -> Grant:
-        """Updates the spent tokens of this holder's grant in a ledger; returns the
+        """Update the spent tokens of this holder's grant in a ledger; return the
         grant."""
         known = ledger.grants.get(self.holder, Grant(0, 0))
         spent = max(known.spent, self._count_own_spent())
@@ -172,7 +172,7 @@
         return ledger.grants[self.holder]
 
     def prepare_write(self, planned: AccountLedger) -> None:
-        """Takes tokens out of use that the write about to be sent returns, or that its
+        """Take tokens out of use that the write about to be sent returns, or that its
         vesting schedule no longer includes."""
         grant = planned.grants.get(self.holder, Grant(0, 0))
         self.withheld = max(self.withheld, self.tokens - grant.tokens)
@@ -180,7 +180,7 @@
             self.schedules.append(grant.vesting)
 
     def _attribute_spending(self, used: int) -> None:
-        """Attributes spent tokens to their origin, so that each is reported to the
+        """Attribute spent tokens to their origin, so that each is reported to the
         ledger once.
 
         Tokens that were returned here after their holder's grant was written off come
@@ -199,7 +199,7 @@
             used -= part
 
     def _count_own_spent(self) -> int:
-        """Returns the tokens known to be spent of this holder's own grant, including
+        """Return the tokens known to be spent of this holder's own grant, including
         loans to others."""
         elsewhere = sum(loan.spent for loan in self.borrowed.values())
         by_others = sum(loan.spent for loan in self.lent.values())
--- a/knapweedrail/relay/boot_clock.py
+++ b/knapweedrail/relay/boot_clock.py
@@ -31,20 +31,20 @@
         self.started = self.read()
 
     def read(self) -> BootTime:
-        """Returns the current reading."""
+        """Return the current reading."""
         uptime = self.read_milliseconds()
         started_at = time.time_ns() // _NANOSECONDS_PER_MILLISECOND - uptime
         return BootTime(Boot(self._identity, started_at), uptime)
 
     def read_milliseconds(self) -> int:
-        """Returns the time since the boot, milliseconds."""
+        """Return the time since the boot, milliseconds."""
         return (
             time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NANOSECONDS_PER_MILLISECOND
         )
 
 
 def _read_boot_id() -> str:
-    """Returns the operating system's identity of this boot; empty if it has none."""
+    """Return the operating system's identity of this boot; empty if it has none."""
     try:
         return _BOOT_ID_PATH.read_text().strip().replace("-", "")[:_BOOT_ID_DIGITS]
     except OSError:
--- a/knapweedrail/relay/borrowing.py
+++ b/knapweedrail/relay/borrowing.py
@@ -37,7 +37,7 @@
         self._holder = membership.member.holder
 
     async def borrow(self, holding: AccountHolding, tokens: int) -> Shortage | None:
-        """Borrows from other relays in turn until the waiting requests can be served.
+        """Borrow from other relays in turn until the waiting requests can be served.
 
         Returns:
             Why there are still too few tokens, if a lender gave a reason; otherwise
@@ -55,7 +55,7 @@
             self._changed.notify_all()
 
     async def return_excess(self, holding: AccountHolding) -> None:
-        """Returns borrowed tokens that aren't needed to the account's primary relay."""
+        """Return borrowed tokens that aren't needed to the account's primary relay."""
         allowance = holding.allowance
         if holding.borrowing or self._membership.is_primary_for(holding.name):
             return
@@ -71,7 +71,7 @@
         await self.give_back(holding, lenders[0], tokens)
 
     async def resolve_unconfirmed(self, holding: AccountHolding) -> None:
-        """Repeats totals that a lender may have missed, and queries what it has lent.
+        """Repeat totals that a lender may have missed, and query what it has lent.
 
         A lender whose answer was lost has taken tokens out of use for this relay, and
         one that missed a return still counts those tokens as lent. Until it receives
@@ -93,7 +93,7 @@
                     await self._trade(holding, member)
 
     async def prompt_settlements(self, holding: AccountHolding) -> None:
-        """Prompts hosts to settle grants of their previous incarnations.
+        """Prompt hosts to settle grants of their previous incarnations.
 
         Only the host itself can determine how long they ran. A host that is no longer
         primary for the account has no other reason to read its ledger.
@@ -117,7 +117,7 @@
     async def give_back(
         self, holding: AccountHolding, lender: Member, tokens: int
     ) -> TradeAnswer | None:
-        """Returns tokens to a relay; gives ``None`` if the relay may not have received
+        """Return tokens to a relay; give ``None`` if the relay may not have received
         them."""
         holding.allowance.give_back(lender.holder, tokens)
         log_event(
@@ -163,7 +163,7 @@
     async def _trade(
         self, holding: AccountHolding, member: Member, needed: int = 0, wanted: int = 0
     ) -> TradeAnswer | None:
-        """Requests tokens from one relay, and reports the totals returned to it and
+        """Request tokens from one relay, and report the totals returned to it and
         spent."""
         loan = holding.allowance.borrowed.get(member.holder)
         trade = Trade(
--- a/knapweedrail/relay/grants.py
+++ b/knapweedrail/relay/grants.py
@@ -127,7 +127,7 @@
     _last: float = 0.0
 
     def record_request(self, tokens: int, now: float) -> None:
-        """Counts a request by the tokens that it may use."""
+        """Count a request by the tokens that it may use."""
         if self._first is None:
             self._first = self._last = now
         decay = math.exp((self._last - now) / DEMAND_WINDOW_SECONDS)
@@ -136,23 +136,23 @@
         self._last = now
 
     def record_return(self, tokens: int, now: float) -> None:
-        """Subtracts tokens that were requested and returned unspent."""
+        """Subtract tokens that were requested and returned unspent."""
         decay = math.exp((self._last - now) / DEMAND_WINDOW_SECONDS)
         # With no demand, or with demand that has decayed to nothing, there is nothing
         # to subtract from.
         self._sum = max(0.0, self._sum - tokens / decay) if decay else 0.0
 
     def is_idle(self, now: float) -> bool:
-        """Returns whether there was no recent request and none is waiting."""
+        """Return whether there was no recent request and none is waiting."""
         return not self.unmet and now - self._last >= IDLE_SECONDS
 
     def has_reliable_rate(self, now: float) -> bool:
-        """Returns whether there were enough recent requests for a reliable rate."""
+        """Return whether there were enough recent requests for a reliable rate."""
         decayed = self._sum * math.exp((self._last - now) / DEMAND_WINDOW_SECONDS)
         return decayed >= MIN_RATE_REQUESTS * max(1.0, self.largest)
 
     def estimate_rate(self, now: float) -> float:
-        """Returns the demand rate, tokens per second."""
+        """Return the demand rate, tokens per second."""
         if self._first is None:
             return 0.0
         decayed = self._sum * math.exp((self._last - now) / DEMAND_WINDOW_SECONDS)
@@ -220,7 +220,7 @@
 def compute_target(
     budget: BudgetView, balance: Balance, demand: Demand, now: float
 ) -> int:
-    """Returns the tokens that a primary relay should have available."""
+    """Return the tokens that a primary relay should have available."""
     margin = MARGIN_REQUESTS * demand.largest / budget.primaries
     rate = demand.estimate_rate(now)
     need = rate * TARGET_SECONDS + margin
@@ -238,7 +238,7 @@
 
 
 def compute_held_share(left: float, rate: float) -> float:
-    """Returns the share of the remaining budget that all primary relays may hold.
+    """Return the share of the remaining budget that all primary relays may hold.
 
     It is designed for an account whose callers request more than its budget, while
     hosts lose power one after the other or all at once.
@@ -254,7 +254,7 @@
 def plan_change(
     budget: BudgetView, balance: Balance, demand: Demand, now: float
 ) -> int:
-    """Returns the change of a primary relay's grant; a negative number returns
+    """Return the change of a primary relay's grant; a negative number returns
     tokens."""
     target = compute_target(budget, balance, demand, now)
     available = balance.available
@@ -277,7 +277,7 @@
 def plan_vesting(
     budget: BudgetView, free: int, demand: Demand, now: float
 ) -> VestingTerms:
-    """Returns how a grant should vest.
+    """Return how a grant should vest.
 
     It is designed for crashes of one host or of all, while each holds many seconds of
     demand. What hadn't vested by then returns to the account.
@@ -302,7 +302,7 @@
 def is_over_vested(
     budget: BudgetView, available: int, terms: VestingTerms, disbursed_since: int
 ) -> bool:
-    """Returns whether the vested tokens exceed the need by enough to be worth a write.
+    """Return whether the vested tokens exceed the need by enough to be worth a write.
 
     Args:
         disbursed_since: Tokens disbursed since the grant was written.
@@ -315,7 +315,7 @@
 
 
 def plan_direct_draw(free: int, available: int, demand: Demand, now: float) -> int:
-    """Returns the change of the grant of a relay that isn't primary for the account.
+    """Return the change of the grant of a relay that isn't primary for the account.
 
     It draws for itself if no primary relay responds, and only as much as it would
     borrow, since a lender may respond to the next request again.
@@ -327,7 +327,7 @@
 
 
 def plan_loan(available: int, needed: int, wanted: int) -> int:
-    """Returns the tokens that a relay lends to another one that has too few.
+    """Return the tokens that a relay lends to another one that has too few.
 
     It is designed for outages in which no relay can reach the store and demand is
     uneven. A request that waits now takes precedence over later ones here, so it gets
@@ -343,14 +343,14 @@
 
 
 def plan_borrow(needed: int, demand: Demand, now: float) -> int:
-    """Returns the tokens to request from a lender, including those needed soon."""
+    """Return the tokens to request from a lender, including those needed soon."""
     if not demand.has_reliable_rate(now):
         return needed
     return needed + int(BORROW_AHEAD_SECONDS * demand.estimate_rate(now))
 
 
 def plan_return(available: int, demand: Demand, now: float) -> int:
-    """Returns the tokens that a borrower should return.
+    """Return the tokens that a borrower should return.
 
     It is designed for many relays, each with few requests of an account. As the budget
     runs low, tokens kept at one relay for a request that may not arrive are unavailable
--- a/knapweedrail/relay/holdings.py
+++ b/knapweedrail/relay/holdings.py
@@ -95,9 +95,9 @@
                 )
 
     async def reserve(self, account: Account, tokens: int) -> Reservation | Shortage:
-        """Reserves the largest number of tokens that a request may use.
+        """Reserve the largest number of tokens that a request may use.
 
-        If too few are available, waits up to `TOKEN_WAIT_SECONDS` for the ledger or for
+        If too few are available, wait up to `TOKEN_WAIT_SECONDS` for the ledger or for
         another relay.
 
         Returns:
@@ -161,12 +161,12 @@
         return TradeAnswer(self._holder, total, shortage)
 
     def read_available(self, account: str) -> float:
-        """Returns the tokens of an account that are available at this relay."""
+        """Return the tokens of an account that are available at this relay."""
         holding = self._by_account.get(account)
         return float(holding.allowance.available) if holding else 0.0
 
     def describe(self, account: Account) -> dict[str, Any]:
-        """Returns the state of an account for a log line, with its age in seconds."""
+        """Return the state of an account for a log line, with its age in seconds."""
         holding = self._get_holding(account.name)
         return {
             "available": holding.allowance.available,
@@ -184,7 +184,7 @@
         }
 
     async def release(self) -> None:
-        """Returns all tokens. To be called after the last request has ended."""
+        """Return all tokens. To be called after the last request has ended."""
         self._released = True
         self._updater.close()
         async with anyio.create_task_group() as group:
@@ -198,7 +198,7 @@
         return self._by_account[account]
 
     def _start_due_work(self, group: anyio.abc.TaskGroup) -> None:
-        """Starts the ledger updates and loan messages that are due."""
+        """Start the ledger updates and loan messages that are due."""
         for account in self._updater.list_prepaid_accounts():
             if account.name in self._by_account or self._membership.is_primary_for(
                 account.name
@@ -223,7 +223,7 @@
     async def _obtain_tokens(
         self, account: Account, holding: AccountHolding, tokens: int
     ) -> Shortage | None:
-        """Draws or borrows tokens for a request and reserves them.
+        """Draw or borrow tokens for a request and reserve them.
 
         Returns:
             ``None`` if the tokens are reserved, or else why there are too few.
@@ -250,7 +250,7 @@
     async def _draw_for_peer(
         self, holding: AccountHolding, needed: int
     ) -> Shortage | None:
-        """Draws tokens that another relay needs; returns why there are too few, or
+        """Draw tokens that another relay needs; return why there are too few, or
         ``None``."""
         account = self._updater.find_account(holding.name)
         if account is None:
@@ -265,7 +265,7 @@
         return Shortage.OUT_OF_REACH
 
     async def _release_account(self, holding: AccountHolding) -> None:
-        """Returns one account's tokens to the ledger, or else to another relay."""
+        """Return one account's tokens to the ledger, or else to another relay."""
         for _ in range(MAX_WRITE_ATTEMPTS):
             if self._holder not in holding.ledger.grants:
                 break
@@ -288,6 +288,6 @@
 
 
 def compute_refill_pause(store_unavailable: bool, rng: Any) -> float:
-    """Returns the pause before the next check of the balances, seconds."""
+    """Return the pause before the next check of the balances, seconds."""
     pause = OUTAGE_RETRY_SECONDS if store_unavailable else REFILL_INTERVAL_SECONDS
     return pause * rng.uniform(*JITTER_BOUNDS)
--- a/knapweedrail/relay/ledger_updates.py
+++ b/knapweedrail/relay/ledger_updates.py
@@ -105,22 +105,22 @@
         return time.monotonic() >= self._unavailable_until
 
     def start(self, group: anyio.abc.TaskGroup) -> None:
-        """Runs updates as tasks of ``group`` from now on."""
+        """Run updates as tasks of ``group`` from now on."""
         self._group = group
         self._running.set()
 
     def close(self) -> None:
-        """Starts no further updates; those in progress continue."""
+        """Start no further updates; those in progress continue."""
         self._group = None
 
     def list_prepaid_accounts(self) -> list[Account]:
-        """Returns the accounts that have a budget."""
+        """Return the accounts that have a budget."""
         configuration = self._read_configuration()
         accounts = (configuration.accounts if configuration else None) or {}
         return [account for account in accounts.values() if account.prepaid is not None]
 
     def find_account(self, name: str) -> Account | None:
-        """Returns an account of the configuration in force, or ``None``."""
+        """Return an account of the configuration in force, or ``None``."""
         configuration = self._read_configuration()
         accounts = (configuration.accounts if configuration else None) or {}
         return accounts.get(name)
@@ -128,7 +128,7 @@
     async def draw(
         self, holding: AccountHolding, account: Account, tokens: int
     ) -> Shortage | None:
-        """Draws tokens on the ledger; returns why there are too few, or ``None``."""
+        """Draw tokens on the ledger; return why there are too few, or ``None``."""
         await self._running.wait()
         holding.pending_draws += 1
         try:
@@ -151,7 +151,7 @@
         return Shortage.HELD_ELSEWHERE
 
     def schedule_refresh(self, holding: AccountHolding) -> None:
-        """Starts an update of an account's grant unless one is in progress."""
+        """Start an update of an account's grant unless one is in progress."""
         if not holding.refreshing and self._group is not None:
             holding.refreshing = True
             if self.store_unavailable:
@@ -161,8 +161,8 @@
             self._group.start_soon(self._refresh, holding)
 
     async def write(self, holding: AccountHolding, planned: AccountLedger) -> bool:
-        """Writes a ledger unless the stored one has changed; returns whether the write
-        is known to have taken effect.
+        """Write a ledger unless the stored one has changed; return whether the write is
+        known to have taken effect.
 
         Tokens that the write returns are taken out of use before it is sent, and tokens
         that it draws come into use only after it is confirmed. So if its reply is lost,
@@ -193,7 +193,7 @@
         return False
 
     def plan(self, holding: AccountHolding) -> Plan | None:
-        """Returns the change of an account's ledger that is due, or ``None``."""
+        """Return the change of an account's ledger that is due, or ``None``."""
         account = self.find_account(holding.name)
         if account is None or account.prepaid is None:
             return None
@@ -208,7 +208,7 @@
         )
 
     async def _refresh(self, holding: AccountHolding) -> None:
-        """Updates an account's grant as planned."""
+        """Update an account's grant as planned."""
         try:
             if not await self._peek(holding):
                 return
@@ -228,7 +228,7 @@
             self._changed.notify_all()
 
     async def _peek(self, holding: AccountHolding) -> bool:
-        """Peeks at an account's ledger if it is likely to have changed.
+        """Peek at an account's ledger if it is likely to have changed.
 
         Only a newer revision is applied. At the known revision, a write of this relay
         whose reply was lost may still take effect, so the tokens that it returns stay
@@ -271,7 +271,7 @@
         )
 
     def _is_unreadable(self, holding: AccountHolding) -> bool:
-        """Returns whether an account's ledger can't be read, which counts as out of
+        """Return whether an account's ledger can't be read, which counts as out of
         reach.
 
         Nothing can be granted from it, because no write takes effect at a revision that
@@ -327,7 +327,7 @@
         holding.apply_ledger(ledger, stored.revision, time.monotonic())
 
     def _record_outcome(self, outcome: WriteOutcome, seconds: float) -> None:
-        """Records whether the store replied.
+        """Record whether the store replied.
 
         A write whose reply is lost at once is retried at once. If the store doesn't
         respond for long, or resets one connection after the other, it counts as
--- a/knapweedrail/relay/ledgers.py
+++ b/knapweedrail/relay/ledgers.py
@@ -112,7 +112,7 @@
         )
 
     def count_held(self, excluding: str) -> int:
-        """Returns the tokens of all holders but one that aren't reported as spent.
+        """Return the tokens of all holders but one that aren't reported as spent.
 
         Args:
             excluding: The holder to leave out.
@@ -124,7 +124,7 @@
         )
 
     def count_held_by_ended(self, is_present: Callable[[str], bool]) -> int:
-        """Returns the tokens of ended holders that aren't reported as spent.
+        """Return the tokens of ended holders that aren't reported as spent.
 
         Args:
             is_present: Returns whether a holder is still running.
@@ -136,12 +136,12 @@
         )
 
     def copy(self) -> AccountLedger:
-        """Returns an independent copy."""
+        """Return an independent copy."""
         return AccountLedger(self.used, dict(self.grants))
 
 
 def name_holder(host: str, incarnation: str) -> str:
-    """Returns the name of a holder.
+    """Return the name of a holder.
 
     Args:
         host: Name of the host, the same after a restart.
@@ -151,12 +151,12 @@
 
 
 def get_host(holder: str) -> str:
-    """Returns the name of a holder's host."""
+    """Return the name of a holder's host."""
     return holder.rpartition("/")[0]
 
 
 def list_previous_incarnations(ledger: AccountLedger, holder: str) -> list[str]:
-    """Returns the previous incarnations on a holder's host that still have a grant."""
+    """Return the previous incarnations on a holder's host that still have a grant."""
     host = get_host(holder)
     return [name for name in ledger.grants if name != holder and get_host(name) == host]
 
@@ -164,7 +164,7 @@
 def settle_previous_incarnations(
     ledger: AccountLedger, holder: str, started: BootTime | None = None
 ) -> list[Settlement]:
-    """Settles the grants of previous incarnations on a holder's host.
+    """Settle the grants of previous incarnations on a holder's host.
 
     A host runs one process per role, so previous incarnations have ended.
 
@@ -200,7 +200,7 @@
 
 
 def release_holder(ledger: AccountLedger, holder: str, returned: int) -> None:
-    """Ends the grant of a holder that has stopped spending.
+    """End the grant of a holder that has stopped spending.
 
     Tokens that it has lent stay granted. Their borrowers may return them unspent, so
     they must not count as used yet.
@@ -217,7 +217,7 @@
 
 
 def encode_ledger(ledger: AccountLedger) -> dict[str, Any]:
-    """Returns an account's ledger in its stored form."""
+    """Return an account's ledger in its stored form."""
     grants = {
         holder: [grant.tokens, grant.spent] for holder, grant in ledger.grants.items()
     }
@@ -231,7 +231,7 @@
 
 
 def decode_ledger(spec: Any) -> AccountLedger:
-    """Decodes the stored ledger of an account.
+    """Decode the stored ledger of an account.
 
     Raises:
         ValueError: If it doesn't have the form that `encode_ledger` gives, or its
@@ -263,7 +263,7 @@
 
 
 def _parse_tokens(value: Any) -> int:
-    """Returns a number of tokens without any conversion.
+    """Return a number of tokens without any conversion.
 
     A truncated float, a boolean or a numeric string would count as fewer tokens than
     were granted, and the difference would be granted a second time.
--- a/knapweedrail/relay/peer_updates.py
+++ b/knapweedrail/relay/peer_updates.py
@@ -16,7 +16,7 @@
 
     @abstractmethod
     def compute_poll_delay(self, kind: str, limit: float) -> float:
-        """Returns for how long a watcher needn't call the store, seconds.
+        """Return for how long a watcher needn't call the store, seconds.
 
         Args:
             kind: Kind of the objects that it watches.
@@ -26,11 +26,11 @@
 
     @abstractmethod
     def notify_change(self) -> None:
-        """Notifies that changes of the store were received."""
+        """Notify that changes of the store were received."""
 
     @abstractmethod
     def notify_store_available(self) -> None:
-        """Notifies that the store is available again after an outage."""
+        """Notify that the store is available again after an outage."""
 
 
 class NoPeerUpdates(PeerUpdates):
@@ -70,7 +70,7 @@
 
     @abstractmethod
     def apply_update(self, news: KindUpdate, confirmed_at: float) -> None:
-        """Applies an update from another relay.
+        """Apply an update from another relay.
 
         Args:
             news: The update.
--- a/knapweedrail/relay/reservations.py
+++ b/knapweedrail/relay/reservations.py
@@ -27,7 +27,7 @@
     tokens: int
 
     def settle(self, used: int) -> None:
-        """Counts the tokens used and frees the rest."""
+        """Count the tokens used and free the rest."""
         if self.allowance is not None:
             self.allowance.settle(self.tokens, used)
             self.allowance = None
@@ -41,7 +41,7 @@
     reachable: bool,
     fresh: bool,
 ) -> Shortage | None:
-    """Returns why the ledger has too few tokens, or ``None`` if reading it may help.
+    """Return why the ledger has too few tokens, or ``None`` if reading it may help.
 
     `Shortage.SPENT` is returned only if it is certain: the tokens known to be used
     leave too few, even if all other relays returned what they hold.
--- a/knapweedrail/relay/stop_signals.py
+++ b/knapweedrail/relay/stop_signals.py
@@ -22,7 +22,7 @@
         self._first_at: float | None = None
 
     def watch(self, numbers: Iterable[int]) -> None:
-        """Installs handlers for these signals. The event loop's own handlers are still
+        """Install handlers for these signals. The event loop's own handlers are still
         called."""
         for number in numbers:
             signal.signal(number, self._record)
@@ -34,7 +34,7 @@
         return self._first_at is not None
 
     def read_stop_time(self) -> float:
-        """Returns when the first signal was received, or the current time if none was;
+        """Return when the first signal was received, or the current time if none was;
         monotonic clock, seconds."""
         return time.monotonic() if self._first_at is None else self._first_at
 
--- a/knapweedrail/relay/successors.py
+++ b/knapweedrail/relay/successors.py
@@ -79,7 +79,7 @@
         self._requested_at: dict[str, float] = {}
 
     def report_mismatch(self, runner: Runner, name: str) -> None:
-        """Reports that another runner answered at the address of the expected one.
+        """Report that another runner answered at the address of the expected one.
 
         Args:
             runner: The expected runner.
@@ -155,4 +155,4 @@
 
 
 def _ignore_connect_time(seconds: float, now: float) -> None:
-    """Ignores how long a connection took."""
+    """Ignore how long a connection took."""
--- a/knapweedrail/relay/vesting.py
+++ b/knapweedrail/relay/vesting.py
@@ -46,7 +46,7 @@
     started_at: int
 
     def is_same(self, other: Boot) -> bool:
-        """Returns whether both are known to be the same boot."""
+        """Return whether both are known to be the same boot."""
         if not self.identity or self.identity != other.identity:
             return False
         return abs(self.started_at - other.started_at) <= BOOT_TOLERANCE_MILLISECONDS
@@ -64,7 +64,7 @@
     uptime: int
 
     def measure_since(self, earlier: BootTime) -> int | None:
-        """Returns the milliseconds since an earlier reading; ``None`` if it may be of
+        """Return the milliseconds since an earlier reading; ``None`` if it may be of
         another boot."""
         if not self.boot.is_same(earlier.boot) or self.uptime < earlier.uptime:
             return None
@@ -88,7 +88,7 @@
     since: BootTime
 
     def count_vested_at(self, uptime: int) -> int:
-        """Returns the tokens that have vested by a time.
+        """Return the tokens that have vested by a time.
 
         Args:
             uptime: Milliseconds since the same boot.
@@ -96,7 +96,7 @@
         return self.count_vested_after(uptime - self.since.uptime)
 
     def count_vested_after(self, elapsed: int) -> int:
-        """Returns the tokens that have vested some time after it was written.
+        """Return the tokens that have vested some time after it was written.
 
         Args:
             elapsed: Milliseconds since it was written.
@@ -105,14 +105,14 @@
 
 
 def encode_schedule(vesting: VestingSchedule) -> list[Any]:
-    """Returns a vesting schedule in its stored form."""
+    """Return a vesting schedule in its stored form."""
     since = vesting.since
     boot = since.boot
     return [vesting.tokens, vesting.rate, since.uptime, boot.identity, boot.started_at]
 
 
 def decode_schedule(value: Any) -> VestingSchedule | None:
-    """Returns a stored vesting schedule; ``None`` if it is invalid.
+    """Return a stored vesting schedule; ``None`` if it is invalid.
 
     A grant without a schedule counts as fully vested. That costs its tokens if the
     holder crashes, but never lets them be used twice.
